--- a/bench/many.py
+++ b/bench/many.py
@@ -221,11 +221,11 @@
                 if self._is_dark(address, now):
                     self._at(now + TIMEOUT_S, self._fail, view, name)
                 else:
-                    view.reach.note_reached(name, now)
+                    view.reach.record_reached(name, now)
         self._at(now + TIMEOUT_S + 0.01, self._look, number + 1)
 
     def _fail(self, now, view, name):
-        view.note_unreached(name, now)
+        view.record_unreached(name, now)
 
     def _name_version(self, now, version):
         """Name new weights, which engines load a few at a time."""
@@ -256,7 +256,7 @@
         for view in self._views:
             for name in names:
                 view.weights.end_loading(name)
-                view.fleet.note_version(name, 'm', version)
+                view.fleet.record_version(name, 'm', version)
 
     def _arrive(self, now):
         if now >= self._size.seconds:
@@ -312,7 +312,7 @@
     def _hear_limit(self, now, asked, plan, sent):
         """Take in the limit that an answer names."""
         view = self._views[asked.box]
-        view.bars.limits.note_named(
+        view.bars.limits.record_named(
             plan.entry.name, self._size.limit_per_s, sent, now
         )
         if view.bars.limits.is_urgent:
@@ -320,7 +320,7 @@
 
     def _send(self, now, arrives, asked, plan):
         work = asked.work
-        self._views[asked.box].note_sent(plan, work, now)
+        self._views[asked.box].record_sent(plan, work, now)
         if self._is_limited(plan.entry.address, now):
             self._at(arrives, self._hear_limit, asked, plan, now)
             if now >= self._size.limited_at + CONTACT_S:
@@ -330,7 +330,7 @@
         )
         part, own = work.prompt.parts
         if read > own.tokens:
-            self._note_read((plan.space, part.name), part.tokens, first)
+            self._record_read((plan.space, part.name), part.tokens, first)
         wait_s = first - asked.since
         self._waits.append(wait_s)
         in_aim = wait_s <= asked.kind.aim_s
@@ -342,14 +342,14 @@
     def _lose_later(self, now, asked, plan):
         """Lose what was sent on a kept connection to a dark engine."""
         self._counts['lost'] += 1
-        self._views[asked.box].note_sent(plan, asked.work, now)
+        self._views[asked.box].record_sent(plan, asked.work, now)
         self._idle[asked.box].pop(plan.entry.address, None)
         self._at(now + SILENT_S, self._lose, asked, plan)
 
     def _lose(self, now, asked, plan):
         view = self._views[asked.box]
-        view.loads.note_end(plan.entry.name, asked.work.name)
-        view.note_unreached(plan.entry.name, now)
+        view.loads.record_end(plan.entry.name, asked.work.name)
+        view.record_unreached(plan.entry.name, now)
 
     def _try_elsewhere(self, now, asked, plan):
         """Try again once a new connection has not come up."""
@@ -358,7 +358,7 @@
         avoid = (*asked.avoid, name)
         self._at(later, self._try, asked._replace(avoid=avoid))
 
-    def _note_read(self, key, tokens, first):
+    def _record_read(self, key, tokens, first):
         """Note that a shared part is read, and when all know of it."""
         if key in self._read_once:
             self._counts['again'] += tokens
@@ -369,11 +369,11 @@
         self._held[key] = tokens
 
     def _begin(self, now, asked, plan):
-        self._views[asked.box].note_first(plan, asked.work, now)
+        self._views[asked.box].record_first(plan, asked.work, now)
 
     def _end(self, now, asked, plan):
         view = self._views[asked.box]
-        view.loads.note_end(plan.entry.name, asked.work.name)
+        view.loads.record_end(plan.entry.name, asked.work.name)
         self._idle[asked.box][plan.entry.address].append(now)
 
     def _list_ready(self, asked, now):
--- a/bench/micro.py
+++ b/bench/micro.py
@@ -141,10 +141,10 @@
     for prompt in range(prompts):
         pieces = make_work(0, 'w', prompt).pieces
         keys = [identity.add_version(piece, 'v1') for piece in pieces]
-        owned.directory.note_cached(members[prompt % targets].name, keys)
+        owned.directory.record_cached(members[prompt % targets].name, keys)
         for key in keys:
             block = records.Block(key, 's', 'w', 1, '')
-            owned.directory.note_stored('w', block, 2000)
+            owned.directory.record_stored('w', block, 2000)
     share = fairness.make_share(1.0, 1)
     for index in range(workspaces):
         row = make_row(index)
@@ -359,13 +359,13 @@
     for prompt in range(1400):
         work = make_work(0, 'w', prompt)
         keys = [identity.add_version(p, 'v1') for p in work.pieces]
-        owned.directory.note_cached('t', keys)
+        owned.directory.record_cached('t', keys)
         for key in work.pieces:
             versioned = identity.add_version(key, 'v1')
             block = records.Block(
                 versioned, 's', f'w{versioned}', 1, versioned
             )
-            owned.directory.note_stored('w', block, 2000)
+            owned.directory.record_stored('w', block, 2000)
     after = tracemalloc.get_traced_memory()[0]
     sizes['kept_prompt'] = (after - before) / 1400
     tracemalloc.stop()
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -26,7 +26,7 @@
     owner = find_owner(running, model, domain)
     running.kill(owner)
     running.boxes.pop(owner)
-    await note_recovery(running, 'killed', domain, model)
+    await record_recovery(running, 'killed', domain, model)
 
 
 async def freeze_owner(running):
@@ -37,7 +37,7 @@
     owner = find_owner(running, model, domain)
     running.freeze(owner)
     ports = running.boxes.pop(owner)
-    await note_recovery(running, 'frozen', domain, model)
+    await record_recovery(running, 'frozen', domain, model)
     await asyncio.sleep(FROZEN_S)
     running.thaw(owner)
     running.boxes[owner] = ports
@@ -55,10 +55,10 @@
     for index in range(running.shape.boxes):
         await running.start_box(f'{domain}-{index + 20}', domain)
     await running.announce(now=False)
-    await note_recovery(running, 'replaced', domain, model)
+    await record_recovery(running, 'replaced', domain, model)
 
 
-async def note_recovery(running, name, domain, model):
+async def record_recovery(running, name, domain, model):
     """Measure until a living box schedules the pool with all targets."""
     loop = asyncio.get_running_loop()
     began = loop.time()
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -126,7 +126,7 @@
     async def _use(self, grant, came):
         """Use a grant: import context, dispatch, stream."""
         self._step(Signal.GRANT)
-        self._note(
+        self._record(
             'granted',
             target=grant.target,
             grant=grant.grant,
@@ -172,7 +172,7 @@
 
     def _drop_stale(self, grant, reason):
         self._step(Signal.STALE)
-        self._note('stale', target=grant.target, reason=reason)
+        self._record('stale', target=grant.target, reason=reason)
         return Part('stale', None, reason)
 
     async def _dispatch(self, stream, grant, came, use):
@@ -180,7 +180,7 @@
         if reason:
             return self._drop_stale(grant, reason)
         self._step(Signal.SEND)
-        self._note('dispatched', target=grant.target, tries=self.life.tries)
+        self._record('dispatched', target=grant.target, tries=self.life.tries)
         job = targets.Job(
             request=f'{self.request}#{grant.grant}',
             salt=self.row.workspace,
@@ -224,7 +224,7 @@
                 return Part('cut', None, f'token {event.index}')
             self._step(Signal.TOKEN)
             if self.first_token < 0:
-                self._note_first()
+                self._record_first()
             await self.outlet.send(event.text)
         self._step(Signal.CUT)
         return Part('cut', None, 'no end')
@@ -249,7 +249,7 @@
             if refused is not None:
                 return part
             self._step(Signal.RESUME)
-            self._note('resumed', target=grant.target, at=self.life.tokens)
+            self._record('resumed', target=grant.target, at=self.life.tokens)
             return await self._relay(stream, None)
         except http.Unreachable:
             return part
@@ -280,13 +280,13 @@
         if receipt is not None:
             failed = blocks.check_receipt(block, receipt)
         if failed:
-            self._note('mismatch', write=block.write, check=failed)
+            self._record('mismatch', write=block.write, check=failed)
             freed = messages.Freed(self._pool(), (block.key,))
             self._send_scheduler(freed)
             return False
         labels = self.row.workspace, 'import'
         self.core.metrics.store_bytes.labels(*labels).inc(block.length)
-        self._note('imported', write=block.write)
+        self._record('imported', write=block.write)
         return True
 
     def _judge(self, grant, part):
@@ -309,7 +309,7 @@
 
     def _judge_cut(self, grant, part):
         if not life_module.may_retry(self.life):
-            self._note('broken', target=grant.target, reason=part.reason)
+            self._record('broken', target=grant.target, reason=part.reason)
             self._step(Signal.GIVE_UP)
             return self._reject('broken', 0.0, part.reason)
         if not self.box.budget.take():
@@ -320,7 +320,7 @@
         return self._ask_again(grant, part)
 
     def _ask_again(self, grant, part):
-        self._note('retried', target=grant.target, reason=part.reason)
+        self._record('retried', target=grant.target, reason=part.reason)
         self._failed_tries += 1
         if part.reason not in OWN_REASONS:
             self.avoid.append(grant.target)
@@ -377,21 +377,21 @@
         metrics.tokens.labels(workspace, 'computed').inc(computed)
         metrics.tokens.labels(workspace, 'cached').inc(end.cached_tokens)
         metrics.output.labels(workspace).inc(end.output_tokens)
-        self._note(
+        self._record(
             'finished',
             tokens=end.output_tokens,
             cached=end.cached_tokens,
             version=end.version,
         )
 
-    def _note_first(self):
+    def _record_first(self):
         now = self.core.timer.now()
         self.first_token = now
         seconds = now - self.started
         self.core.metrics.first_token.labels(self.row.workspace).observe(
             seconds
         )
-        self._note('first_token', seconds=round(seconds, 4))
+        self._record('first_token', seconds=round(seconds, 4))
 
     def _step(self, signal):
         self.life = life_module.advance(self.life, signal)
@@ -402,7 +402,7 @@
         known = self.life.verdict
         return answers.Rejection(reason, known, retry_after, detail)
 
-    def _note(self, event, **fields):
+    def _record(self, event, **fields):
         self.core.recorder.record(event, request=self.request, **fields)
 
     def _cancel_run(self):
--- a/landingspool/core.py
+++ b/landingspool/core.py
@@ -50,7 +50,7 @@
 
     def start(self, report_period):
         """Begin to tick and to poll; returns nothing."""
-        self.timer.subscribe_standstill(self._resume)
+        self.timer.subscribe_stall(self._resume)
         self.timer.subscribe(TICK_S, self._tick)
         self.keep(lambda: self._poll_loads(report_period))
         self.keep(self._poll_events)
@@ -123,9 +123,9 @@
         for action in actions:
             PERFORMERS[type(action)](self, action)
 
-    def _resume(self, standstill):
+    def _resume(self, stall):
         """Go on after a time in which this process did not run."""
-        seconds, now = standstill
+        seconds, now = stall
         self.recorder.record('frozen', seconds=round(seconds, 2))
         self.node.resume(seconds, now)
         self.spawn(self._poll_all_loads())
@@ -136,7 +136,7 @@
     def _send(self, action):
         self.links.send(action.to, action.message)
 
-    def _note(self, action):
+    def _record(self, action):
         self.recorder.record(action.event, **action.fields)
 
     def _decide(self, action):
@@ -281,7 +281,7 @@
 
 PERFORMERS = {
     outputs.Send: Core._send,
-    outputs.Note: Core._note,
+    outputs.Note: Core._record,
     outputs.Decide: Core._decide,
     outputs.Relay: Core._relay,
     outputs.Command: Core._command,
--- a/landingspool/decisions/directory.py
+++ b/landingspool/decisions/directory.py
@@ -31,7 +31,7 @@
         self._cached = collections.defaultdict(collections.OrderedDict)
         self._stored = collections.OrderedDict()
 
-    def note_cached(self, target, keys):
+    def record_cached(self, target, keys):
         """Note that a target has just worked on these pieces."""
         known = self._cached[target]
         for key in keys:
@@ -40,12 +40,12 @@
         while len(known) > self._most_cached:
             known.popitem(last=False)
 
-    def note_evicted(self, target, keys):
+    def record_evicted(self, target, keys):
         """Note that a target said it has dropped these pieces."""
         for key in keys:
             self._cached[target].pop(key, None)
 
-    def note_gap(self, target):
+    def record_gap(self, target):
         """Note that cache events of a target were lost: doubt them all."""
         self._cached.pop(target, None)
 
@@ -57,7 +57,7 @@
         """Count the leading pieces that a target probably has.
 
         >>> directory = Directory()
-        >>> directory.note_cached('t', ['a', 'b', 'd'])
+        >>> directory.record_cached('t', ['a', 'b', 'd'])
         >>> directory.count_cached('t', ['a', 'b', 'c', 'd'])
         2
         """
@@ -71,13 +71,13 @@
             count += 1
         return count
 
-    def note_stored(self, workspace, block, tokens):
+    def record_stored(self, workspace, block, tokens):
         """Offer a sealed block."""
         self._stored[block.key] = Stored(block, tokens, workspace)
         while len(self._stored) > self._most_stored:
             self._stored.popitem(last=False)
 
-    def note_freed(self, keys):
+    def record_freed(self, keys):
         """Take blocks off the offer."""
         for key in keys:
             self._stored.pop(key, None)
--- a/landingspool/decisions/entry.py
+++ b/landingspool/decisions/entry.py
@@ -156,7 +156,7 @@
 
     def tick(self, now):
         """Ask again where nobody answered, follow moved owners, renew."""
-        self._beat.note(now)
+        self._beat.record(now)
         actions = []
         for request, case in list(self._cases.items()):
             actions += self._follow(request, case, now)
--- a/landingspool/decisions/gateway/absence.py
+++ b/landingspool/decisions/gateway/absence.py
@@ -6,7 +6,7 @@
 """
 
 
-def leave_out(view, seconds, now):
+def exclude_stall(view, seconds, now):
     """Leave out so many seconds that ended at `now`.
 
     Parameters
@@ -15,9 +15,9 @@
     seconds : float
     now : float
     """
-    view.loads.leave_out(seconds)
-    view.neighbours.leave_out(seconds)
-    view.watching.leave_out(seconds)
-    view.fleet.leave_out(seconds)
+    view.loads.exclude_stall(seconds)
+    view.neighbours.exclude_stall(seconds)
+    view.watching.exclude_stall(seconds)
+    view.fleet.exclude_stall(seconds)
     # What it may send to limited targets the others could not know.
     view.bars.shares.restart(now)
--- a/landingspool/decisions/gateway/allowance.py
+++ b/landingspool/decisions/gateway/allowance.py
@@ -31,7 +31,7 @@
         self._firsts = collections.deque()
         self._repeats = collections.deque()
 
-    def note_first(self, now):
+    def record_first(self, now):
         """Count the first send of a request."""
         self._firsts.append(now)
         self._forget(now)
--- a/landingspool/decisions/gateway/bars.py
+++ b/landingspool/decisions/gateway/bars.py
@@ -138,10 +138,10 @@
         limit_s = self.limits.find_wait(name, now)
         return None if limit_s is None else max(rest_s, limit_s)
 
-    def note_sent(self, name, now):
+    def record_sent(self, name, now):
         """Note that a request goes to a target."""
-        self.shares.note_sent(name, now)
-        self.rests.note_sent(name, now)
+        self.shares.record_sent(name, now)
+        self.rests.record_sent(name, now)
 
     def list_open(self, entries, limits, now):
         """List the entries that nothing forbids."""
@@ -177,7 +177,7 @@
             return False
         for entry in entries:
             if entry.domain == domain:
-                self.note_back(entry, table, now)
+                self.record_back(entry, table, now)
         return True
 
     def forget(self, name):
@@ -190,10 +190,10 @@
         self.coldness.forget(name)
         self.limits.forget(name)
 
-    def note_back(self, entry, table, now):
+    def record_back(self, entry, table, now):
         """Note that a target's path or domain came back."""
         bound = find_bound(table, entry.service)
-        self.coldness.note_back(entry.name, bound, now)
+        self.coldness.record_back(entry.name, bound, now)
 
 
 def find_bound(table, service):
--- a/landingspool/decisions/gateway/coldness.py
+++ b/landingspool/decisions/gateway/coldness.py
@@ -80,12 +80,12 @@
         self._slack = slack
         self._until = {}
 
-    def note_told(self, name, cold_s, now):
+    def record_told(self, name, cold_s, now):
         """Take in how much longer a target says that it is cold."""
         if cold_s > 0:
             self._extend(name, now + cold_s)
 
-    def note_back(self, name, bound, now):
+    def record_back(self, name, bound, now):
         """Note that a target's path or domain came back.
 
         Parameters
@@ -100,7 +100,7 @@
         """Give the seconds for which a target still counts as cold.
 
         >>> coldness = Coldness(shares_module.Shares(), 1.5, 5.0)
-        >>> coldness.note_told('t', 2.0, 10.0)
+        >>> coldness.record_told('t', 2.0, 10.0)
         >>> coldness.find_left('t', 11.5), coldness.find_left('t', 12.0)
         (0.5, 0.0)
         """
--- a/landingspool/decisions/gateway/endings.py
+++ b/landingspool/decisions/gateway/endings.py
@@ -78,17 +78,17 @@
         self._rumors = rumors.Rumors()
         self._digests = 0
 
-    def note_sent(self, fingerprint):
+    def record_sent(self, fingerprint):
         """Note that a request goes to a target."""
         self._under_way[fingerprint] += 1
 
-    def note_done(self, fingerprint):
+    def record_done(self, fingerprint):
         """Note that a request is no longer at a target."""
         self._under_way[fingerprint] -= 1
         if not self._under_way[fingerprint]:
             del self._under_way[fingerprint]
 
-    def note_lost(self, fingerprint, name, now):
+    def record_lost(self, fingerprint, name, now):
         """Note that a target broke off a request that it had.
 
         Parameters
@@ -98,16 +98,16 @@
 
         >>> endings = Endings()
         >>> for name in ('a', 'b', 'b'):
-        ...     endings.note_lost(b'f', name, 1.0)
+        ...     endings.record_lost(b'f', name, 1.0)
         >>> endings.find_bar(b'f', 2.0) is None
         True
-        >>> endings.note_lost(b'f', 'c', 2.0)
+        >>> endings.record_lost(b'f', 'c', 2.0)
         >>> endings.find_bar(b'f', 2.0), endings.fresh
         (<Bar.ENDED: 'ended_targets'>, [b'f'])
         """
         self._add(fingerprint, neighbours.code_target(name), now, now)
 
-    def note_silent(self, fingerprint, name, now):
+    def record_silent(self, fingerprint, name, now):
         """Note that no answer came, for whatever reason.
 
         It counts if the target's end is known soon after.
@@ -118,12 +118,12 @@
         code = neighbours.code_target(name)
         self._pending.append((fingerprint, code, now))
 
-    def note_over(self, name, now):
+    def record_over(self, name, now):
         """Take in that a target has ended, as its entry tells.
 
         >>> endings = Endings()
-        >>> endings.note_silent(b'f', 'a', 1.0)
-        >>> endings.note_over('a', 3.0)
+        >>> endings.record_silent(b'f', 'a', 1.0)
+        >>> endings.record_over('a', 3.0)
         >>> endings.count(b'f', 3.0)
         1
         """
@@ -133,14 +133,14 @@
                 self._add(fingerprint, life, at, now)
         self._pending = [row for row in self._pending if row[1] != code]
 
-    def note_alive(self, name, sent):
+    def record_alive(self, name, sent):
         """Note that a target answers what was sent to it at `sent`.
 
         What it broke off shortly before, it did not break off by ending.
 
         >>> endings = Endings()
-        >>> endings.note_lost(b'f', 'a', 1.0)
-        >>> endings.note_alive('a', 1.5)
+        >>> endings.record_lost(b'f', 'a', 1.0)
+        >>> endings.record_alive('a', 1.5)
         >>> endings.count(b'f', 2.0)
         0
         """
@@ -153,10 +153,10 @@
             if life in ends and self._is_alive(life, ends[life]):
                 del ends[life]
                 self._void[fingerprint, life] = sent
-                self._note_fewer(fingerprint, len(ends) + 1)
+                self._record_fewer(fingerprint, len(ends) + 1)
         bounded.trim(self._void, MOST_MARKS)
 
-    def note_served(self, fingerprint, now):
+    def record_served(self, fingerprint, now):
         """Note that a request was answered whole, here."""
         if fingerprint in self._marks:
             self._clear(fingerprint, now)
@@ -167,10 +167,11 @@
 
         >>> endings = Endings()
         >>> for life in (7, 8, 9):
-        ...     endings.take(neighbours.Word(b'f', life, 100), 5.0)
+        ...     endings.take(neighbours.CrashNotice(b'f', life, 100), 5.0)
         >>> endings.find_bar(b'f', 5.0) is Bar.ENDED
         True
-        >>> endings.take(neighbours.Word(b'f', neighbours.NO_LIFE, 0), 5.0)
+        >>> served = neighbours.CrashNotice(b'f', neighbours.NO_LIFE, 0)
+        >>> endings.take(served, 5.0)
         >>> endings.find_bar(b'f', 5.0), endings.lifted
         (None, [b'f'])
         """
@@ -197,10 +198,10 @@
         same, some got a 503 since one connection had broken.
 
         >>> endings = Endings()
-        >>> endings.note_sent(b'f')
-        >>> endings.note_lost(b'f', 'a', 1.0)
+        >>> endings.record_sent(b'f')
+        >>> endings.record_lost(b'f', 'a', 1.0)
         >>> endings.find_bar(b'f', 1.0)
-        >>> endings.note_lost(b'f', 'b', 1.0)
+        >>> endings.record_lost(b'f', 'b', 1.0)
         >>> endings.find_bar(b'f', 1.0)
         <Bar.UNDER_WAY: 'suspect_under_way'>
         """
@@ -218,11 +219,11 @@
             return 0.0
         return max(ends[-MOST_ENDS] + REMEMBERED_S - now, 0.0)
 
-    def list_words(self, fingerprint, now):
+    def list_notices(self, fingerprint, now):
         """List what is known of a request, as words."""
         ends = self._marks.get(fingerprint, {})
         return [
-            rumors.make_word(fingerprint, life, at, now)
+            rumors.make_notice(fingerprint, life, at, now)
             for life, at in ends.items()
         ]
 
@@ -236,7 +237,7 @@
             word
             for fingerprint, ends in self._marks.items()
             if len(ends) >= least
-            for word in self.list_words(fingerprint, now)
+            for word in self.list_notices(fingerprint, now)
         ]
 
     def list_barred(self, now):
@@ -259,7 +260,7 @@
         if not barred:
             return []
         turn = self._digests // AGAIN_EVERY % len(barred)
-        return self.list_words(barred[turn], now)
+        return self.list_notices(barred[turn], now)
 
     def _weigh(self, fingerprint):
         return min(len(self._marks.get(fingerprint, ())), MOST_ENDS)
@@ -296,9 +297,9 @@
         before = len(ends)
         for life in [life for life, end in ends.items() if end <= at]:
             del ends[life]
-        self._note_fewer(fingerprint, before)
+        self._record_fewer(fingerprint, before)
 
-    def _note_fewer(self, fingerprint, before):
+    def _record_fewer(self, fingerprint, before):
         left = len(self._marks.get(fingerprint, ()))
         if before >= MOST_ENDS > left:
             self.lifted.append(fingerprint)
--- a/landingspool/decisions/gateway/fleet.py
+++ b/landingspool/decisions/gateway/fleet.py
@@ -138,7 +138,7 @@
             self.drain(entry.name)
             return DRAINING
         for model, version in entry.versions.items():
-            self.note_version(entry.name, model, version)
+            self.record_version(entry.name, model, version)
         self.entries[entry.name] = entry
         return READY
 
@@ -173,13 +173,13 @@
         self._drained.add(name)
         self._remove(name)
 
-    def leave_out(self, seconds):
+    def exclude_stall(self, seconds):
         """Leave out seconds for which this box did not run.
 
         >>> fleet = Fleet()
         >>> _ = fleet.put(Entry('t', 's', (), 'd', READY, 1, {}))
         >>> fleet.drop('t', 1.0, unsure=True)
-        >>> fleet.leave_out(6.0)
+        >>> fleet.exclude_stall(6.0)
         >>> fleet.tick(8.0), fleet.tick(9.0)
         ([], ['t'])
         """
@@ -220,7 +220,7 @@
         """Give the version of `model` that a target is believed to run."""
         return self._versions.get((name, model))
 
-    def note_version(self, name, model, version):
+    def record_version(self, name, model, version):
         """Note the version that a target told."""
         known = self._versions.get((name, model), 0)
         # Versions only rise; an older word may come late.
--- a/landingspool/decisions/gateway/freshness.py
+++ b/landingspool/decisions/gateway/freshness.py
@@ -35,7 +35,7 @@
         self._bound_s = bound_s - MARGIN_S if fails_closed else math.inf
         self._at = None
 
-    def note(self, sent):
+    def record(self, sent):
         """Note that a read that was sent at `sent` has been answered."""
         if self._at is None or sent > self._at:
             self._at = sent
@@ -66,13 +66,13 @@
         >>> proof = Proof(5.0)
         >>> proof.is_fresh(1.0)
         False
-        >>> proof.note(1.0)
+        >>> proof.record(1.0)
         >>> proof.is_fresh(5.5), proof.is_fresh(5.9)
         (True, False)
         >>> proof = Proof(5.0, fails_closed=False)
         >>> proof.is_fresh(1.0)
         False
-        >>> proof.note(1.0)
+        >>> proof.record(1.0)
         >>> proof.is_fresh(99.0)
         True
         """
--- a/landingspool/decisions/gateway/health.py
+++ b/landingspool/decisions/gateway/health.py
@@ -53,7 +53,7 @@
     failing: float = 0.0
 
 
-def note_answer(health, wait_s, failed):
+def record_answer(health, wait_s, failed):
     """Give the health after an answer.
 
     Parameters
@@ -63,7 +63,7 @@
     failed : bool
         Whether it was a failure that another target might not have given.
 
-    >>> note_answer(Health(failures=2), 0.1, False).failures
+    >>> record_answer(Health(failures=2), 0.1, False).failures
     0
     """
     weight = SAMPLE_WEIGHT if health.samples else 1.0
@@ -79,7 +79,7 @@
     )
 
 
-def note_loss(health, now, certain=False):
+def record_loss(health, now, certain=False):
     """Give the health after a request that got no answer.
 
     Parameters
@@ -87,9 +87,9 @@
     certain : bool
         Whether the target can't be reached at all.
 
-    >>> note_loss(Health(), 10.0, certain=True).avoid_until
+    >>> record_loss(Health(), 10.0, certain=True).avoid_until
     10.5
-    >>> note_loss(Health(), 10.0).avoid_until
+    >>> record_loss(Health(), 10.0).avoid_until
     0.0
     """
     failures = health.failures + 1
--- a/landingspool/decisions/gateway/lateness.py
+++ b/landingspool/decisions/gateway/lateness.py
@@ -43,7 +43,7 @@
     def __init__(self):
         self._averages = {}
 
-    def note_first(self, service, seconds, aim_s, now):
+    def record_first(self, service, seconds, aim_s, now):
         """Note the first byte of an answer.
 
         Parameters
@@ -65,7 +65,7 @@
         >>> lateness.measure('s', 0.0)
         0.0
         >>> for n in range(40):
-        ...     lateness.note_first('s', 1.3, 1.0, n / 10)
+        ...     lateness.record_first('s', 1.3, 1.0, n / 10)
         >>> round(lateness.measure('s', 4.0), 2)
         1.3
         >>> round(lateness.measure('s', 5.9), 2)
--- a/landingspool/decisions/gateway/leaving.py
+++ b/landingspool/decisions/gateway/leaving.py
@@ -23,7 +23,7 @@
 NEW_S = 1.0
 AGAIN_EVERY = 5
 TOLD_S = 60.0
-# Words in one digest at most, 9 bytes each.
+# Notices in one digest at most, 9 bytes each.
 MOST_TOLD = 40
 
 
@@ -62,7 +62,7 @@
         self._known = collections.OrderedDict()
         self._digests = 0
 
-    def note_told(self, name, now):
+    def record_told(self, name, now):
         """Take in that an answer of a target said so.
 
         Parameters
@@ -71,7 +71,7 @@
             Of the target's life.
 
         >>> leaving = Leaving()
-        >>> leaving.note_told('t', 1.0)
+        >>> leaving.record_told('t', 1.0)
         >>> leaving.holds('t'), leaving.holds('u')
         (True, False)
         """
@@ -82,11 +82,11 @@
 
         Parameters
         ----------
-        word : neighbours.LeavingWord
+        word : neighbours.LeavingNotice
         """
         self._put(Known(word.life, now - word.age_ms / 1000, box))
 
-    def note_over(self, name):
+    def record_over(self, name):
         """Note that a life is over; its word stays, it may only seem so."""
         life = neighbours.code_target(name)
         known = self._known.get(life)
@@ -106,23 +106,23 @@
         """Give the words for the next digest.
 
         >>> leaving = Leaving()
-        >>> leaving.note_told('t', 1.0)
+        >>> leaving.record_told('t', 1.0)
         >>> [len(leaving.tell(at)) for at in (1.1, 2.1, 2.3, 2.5, 2.7, 70.0)]
         [1, 0, 0, 0, 1, 0]
         """
         self._digests += 1
         again = self._digests % AGAIN_EVERY == 0
         words = [
-            make_word(known, now)
+            make_notice(known, now)
             for known in self._known.values()
             if now - known.heard < (TOLD_S if again else NEW_S)
         ]
         return tuple(words[-MOST_TOLD:])
 
-    def list_words(self, now):
+    def list_notices(self, now):
         """List the words of the lives that last, for a box that starts."""
         return [
-            make_word(known, now)
+            make_notice(known, now)
             for known in self._known.values()
             if not known.is_over
         ]
@@ -135,7 +135,7 @@
         bounded.trim(self._known, MOST_KNOWN)
 
 
-def make_word(known, now):
-    """Give the neighbours.LeavingWord of a Known."""
+def make_notice(known, now):
+    """Give the neighbours.LeavingNotice of a Known."""
     age_ms = max(int((now - known.heard) * 1000), 0)
-    return neighbours.LeavingWord(known.life, age_ms)
+    return neighbours.LeavingNotice(known.life, age_ms)
--- a/landingspool/decisions/gateway/leftovers.py
+++ b/landingspool/decisions/gateway/leftovers.py
@@ -57,7 +57,7 @@
     def __init__(self):
         self._least = {}
 
-    def note(self, model, least, now):
+    def record(self, model, least, now):
         """Note the oldest version in use of a model.
 
         Returns
@@ -66,10 +66,10 @@
             The version before which all may be freed now.
 
         >>> leftovers = Leftovers()
-        >>> leftovers.note('m', 2, 10.0)
-        >>> leftovers.note('m', 2, 20.0)
+        >>> leftovers.record('m', 2, 10.0)
+        >>> leftovers.record('m', 2, 20.0)
         2
-        >>> leftovers.note('m', 1, 20.1)
+        >>> leftovers.record('m', 1, 20.1)
         """
         known = self._least.get(model)
         if known is None or known[0] != least:
@@ -99,7 +99,7 @@
     def __init__(self):
         self._since = {}
 
-    def note(self, store, index, now):
+    def record(self, store, index, now):
         """Note the unwhole parts of a list that has just been read.
 
         Parameters
@@ -115,12 +115,12 @@
         >>> row = warmth_module.Unwhole('s', 'a', 100, 800)
         >>> index = warmth_module.Index(1, 0, {}, 0, 0, unwhole=(row,))
         >>> broken = Broken()
-        >>> broken.note('k', index, 10.0)
+        >>> broken.record('k', index, 10.0)
         []
-        >>> broken.note('k', index, 10.0 + BROKEN_S)
+        >>> broken.record('k', index, 10.0 + BROKEN_S)
         [('s', 'a')]
         >>> grown = index._replace(unwhole=(row._replace(tokens=300),))
-        >>> broken.note('k', grown, 30.0)
+        >>> broken.record('k', grown, 30.0)
         []
         """
         known = self._since.get(store, {})
--- a/landingspool/decisions/gateway/limits.py
+++ b/landingspool/decisions/gateway/limits.py
@@ -47,7 +47,7 @@
 AGAIN_EVERY = 5
 # Seconds for which it is told that a limit has ended.
 ENDED_S = 10.0
-# Words in one digest at most, 22 bytes each.
+# Notices in one digest at most, 22 bytes each.
 MOST_TOLD = 40
 # Seconds without news of a limit after which boxes without a permit may ask
 # the target in turn: one that missed the end would believe in it for ever.
@@ -111,7 +111,7 @@
         self._known = collections.OrderedDict()
         self._digests = 0
 
-    def note_named(self, name, per_s, asked, heard):
+    def record_named(self, name, per_s, asked, heard):
         """Take in the limit that an answer of a target named.
 
         Parameters
@@ -120,24 +120,24 @@
             Of the target's life.
 
         >>> limits = Limits(shares_module.Shares())
-        >>> limits.note_named('t', 1.8, 1.0, 1.1)
+        >>> limits.record_named('t', 1.8, 1.0, 1.1)
         >>> limits.find('t').per_s, limits.find('u')
         (1.8, None)
         """
         word = Known(per_s, asked, heard, heard)
         self._put(neighbours.code_target(name), word)
 
-    def note_unnamed(self, name, asked, heard):
+    def record_unnamed(self, name, asked, heard):
         """Take in an answer that named none.
 
         It ends a limit only if it was asked for after that was heard.
 
         >>> limits = Limits(shares_module.Shares())
-        >>> limits.note_named('t', 1.8, 1.0, 1.1)
-        >>> limits.note_unnamed('t', 1.05, 1.2)
+        >>> limits.record_named('t', 1.8, 1.0, 1.1)
+        >>> limits.record_unnamed('t', 1.05, 1.2)
         >>> limits.find('t').per_s
         1.8
-        >>> limits.note_unnamed('t', 1.15, 1.3)
+        >>> limits.record_unnamed('t', 1.15, 1.3)
         >>> limits.find('t')
         """
         life = neighbours.code_target(name)
@@ -149,7 +149,7 @@
 
         Parameters
         ----------
-        word : neighbours.LimitWord
+        word : neighbours.LimitNotice
         """
         if not is_figure(word.per_s):
             return
@@ -166,7 +166,7 @@
         self.is_urgent = False
         again = self._digests % AGAIN_EVERY == 0
         words = [
-            make_word(life, known, now)
+            make_notice(life, known, now)
             for life, known in self._known.items()
             if is_due(known, again, now)
         ]
@@ -174,10 +174,10 @@
         first = self._digests * MOST_TOLD % max(len(words), 1)
         return tuple((words[first:] + words[:first])[:MOST_TOLD])
 
-    def list_words(self, now):
+    def list_notices(self, now):
         """List the words of all limits that hold, for a box that starts."""
         return [
-            make_word(life, known, now)
+            make_notice(life, known, now)
             for life, known in self._known.items()
             if known.per_s
         ]
@@ -304,12 +304,12 @@
     return again and (bool(known.per_s) or age_s < ENDED_S)
 
 
-def make_word(life, known, now):
-    """Give the neighbours.LimitWord of a life."""
+def make_notice(life, known, now):
+    """Give the neighbours.LimitNotice of a life."""
     asked_ms, heard_ms = (
         max(int((now - at) * 1000), 0) for at in (known.asked, known.heard)
     )
-    return neighbours.LimitWord(life, known.per_s, asked_ms, heard_ms)
+    return neighbours.LimitNotice(life, known.per_s, asked_ms, heard_ms)
 
 
 def find_open(known, now):
--- a/landingspool/decisions/gateway/loads.py
+++ b/landingspool/decisions/gateway/loads.py
@@ -29,7 +29,7 @@
         self._sent = {}
         self._heard = {}
 
-    def note_sent(self, target, request, sent):
+    def record_sent(self, target, request, sent):
         """Note that a request went to a target.
 
         Parameters
@@ -38,7 +38,7 @@
         """
         self._sent.setdefault(target, {})[request] = sent
 
-    def note_first(self, target, request):
+    def record_first(self, target, request):
         """Note that bytes of an answer came.
 
         Returns
@@ -47,11 +47,11 @@
             The request, if they are the first.
 
         >>> loads = Loads()
-        >>> loads.note_sent('t', 'q', Sent(1.0, 500, False, 600))
-        >>> loads.note_first('t', 'q')
+        >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
+        >>> loads.record_first('t', 'q')
         Sent(at=1.0, tokens=500, begun=False, held=600)
-        >>> loads.note_first('t', 'q')
-        >>> loads.note_first('t', 'unknown')
+        >>> loads.record_first('t', 'q')
+        >>> loads.record_first('t', 'unknown')
         """
         sent = self._sent.get(target, {}).get(request)
         if sent is None or sent.begun:
@@ -59,7 +59,7 @@
         self._sent[target][request] = sent._replace(begun=True)
         return sent
 
-    def note_end(self, target, request):
+    def record_end(self, target, request):
         """Note that a request is no longer at a target."""
         at_target = self._sent.get(target)
         if at_target is None:
@@ -68,16 +68,16 @@
         if not at_target:
             del self._sent[target]
 
-    def note_heard(self, target, now):
+    def record_heard(self, target, now):
         """Note that a target sent something."""
         self._heard[target] = now
 
-    def leave_out(self, seconds):
+    def exclude_stall(self, seconds):
         """Leave out seconds for which this box did not run.
 
         >>> loads = Loads()
-        >>> loads.note_sent('t', 'q', Sent(1.0, 500, False, 600))
-        >>> loads.leave_out(6.0)
+        >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
+        >>> loads.exclude_stall(6.0)
         >>> loads.measure('t', (0.0, 0.0, 0.0, 0.0)).oldest
         7.0
         """
@@ -100,7 +100,7 @@
             What other boxes have there, as neighbours.Neighbours.get_load.
 
         >>> loads = Loads()
-        >>> loads.note_sent('t', 'q', Sent(1.0, 500, False, 600))
+        >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
         >>> load = loads.measure('t', (9.0, 2.0, 0.0, 1.0))
         >>> load.waiting, load.waiting_tokens, load.others_running
         (1, 500, 2.0)
@@ -125,7 +125,7 @@
         """Count this box's requests at a target: waiting, and begun.
 
         >>> loads = Loads()
-        >>> loads.note_sent('t', 'q', Sent(1.0, 500, False, 600))
+        >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
         >>> loads.count('t'), loads.count('u')
         ((1, 0), (0, 0))
         """
@@ -137,8 +137,8 @@
         """Give what this box has at each target, as in neighbours.Digest.
 
         >>> loads = Loads()
-        >>> loads.note_sent('t', 'q', Sent(1.0, 500, False, 600))
-        >>> loads.note_sent('t', 'r', Sent(1.0, 200, True, 300))
+        >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
+        >>> loads.record_sent('t', 'r', Sent(1.0, 200, True, 300))
         >>> loads.list_told()
         {'t': [500, 1, 900, 1]}
         """
--- a/landingspool/decisions/gateway/neighbours.py
+++ b/landingspool/decisions/gateway/neighbours.py
@@ -28,7 +28,7 @@
 NOTHING = 0, 0, 0, 0
 
 
-class Word(typing.NamedTuple):
+class CrashNotice(typing.NamedTuple):
     """One target that ended under a request.
 
     Attributes
@@ -47,7 +47,7 @@
     age_ms: int
 
 
-class LimitWord(typing.NamedTuple):
+class LimitNotice(typing.NamedTuple):
     """What a target says of the requests that it takes.
 
     Attributes
@@ -66,7 +66,7 @@
     heard_ms: int
 
 
-class LeavingWord(typing.NamedTuple):
+class LeavingNotice(typing.NamedTuple):
     """A target that has said that it leaves.
 
     Attributes
@@ -98,11 +98,11 @@
         For each store that it counted the life and the tokens taken.
     link_mbps : float
         Width of its link.
-    endings : tuple of Word
+    endings : tuple of CrashNotice
         Targets that ended under requests, as it has seen or heard.
-    limits : tuple of LimitWord
+    limits : tuple of LimitNotice
         What targets say of the requests that they take, likewise.
-    leaving : tuple of LeavingWord
+    leaving : tuple of LeavingNotice
         Targets that have said that they leave, likewise.
     """
 
@@ -113,9 +113,9 @@
     unreached: tuple[str, ...] = ()
     rooms: dict[str, tuple[int, int]] = {}
     link_mbps: float = 0.0
-    endings: tuple[Word, ...] = ()
-    limits: tuple[LimitWord, ...] = ()
-    leaving: tuple[LeavingWord, ...] = ()
+    endings: tuple[CrashNotice, ...] = ()
+    limits: tuple[LimitNotice, ...] = ()
+    leaving: tuple[LeavingNotice, ...] = ()
 
 
 class Ask(typing.NamedTuple):
@@ -216,12 +216,12 @@
         self._heard[digest.box] = Heard(digest, now)
         self._summed = None
 
-    def leave_out(self, seconds):
+    def exclude_stall(self, seconds):
         """Leave out seconds for which this box did not run.
 
         >>> neighbours = Neighbours()
         >>> neighbours.take(Digest('b', 'd', 1, {}), 1.0)
-        >>> neighbours.leave_out(6.0)
+        >>> neighbours.exclude_stall(6.0)
         >>> neighbours.list_heard(7.5)
         ['b']
         """
--- a/landingspool/decisions/gateway/partition.py
+++ b/landingspool/decisions/gateway/partition.py
@@ -70,7 +70,7 @@
         self._at = 0.0
         self.is_on = True
 
-    def note(self, read_tokens, now):
+    def record(self, read_tokens, now):
         """Note a request by the tokens that stores do not hold."""
         faded = 0.5 ** (max(now - self._at, 0.0) / HALF_LIFE_S)
         self._long *= faded
@@ -81,7 +81,7 @@
         else:
             self._short += read_tokens
 
-    def note_room(self, room, held):
+    def record_room(self, room, held):
         """Note the room that engines have.
 
         Parameters
@@ -98,8 +98,8 @@
         """Give the share of tokens in long readings; None: too few known.
 
         >>> partition = Partition()
-        >>> partition.note(40_000, 1.0)
-        >>> partition.note(1_000, 1.0)
+        >>> partition.record(40_000, 1.0)
+        >>> partition.record(1_000, 1.0)
         >>> round(partition.find_share(), 2)
         0.98
         """
--- a/landingspool/decisions/gateway/reach.py
+++ b/landingspool/decisions/gateway/reach.py
@@ -51,7 +51,7 @@
         self._out = {}
         self._reached = {}
 
-    def note_failed(self, name, now, watched=False):
+    def record_failed(self, name, now, watched=False):
         """Note that no connection to a target came up.
 
         Parameters
@@ -60,7 +60,7 @@
             Whether other boxes look after it.
 
         >>> reach = Reach()
-        >>> reach.note_failed('a', 10.0)
+        >>> reach.record_failed('a', 10.0)
         >>> reach.is_out('a'), reach.list_due(10.1), reach.list_due(10.4)
         (True, [], ['a'])
         """
@@ -71,7 +71,7 @@
             pause = WATCHED_RETRY_S
         self._out[name] = Out(failed, now + pause)
 
-    def note_reached(self, name, now):
+    def record_reached(self, name, now):
         """Note that a connection to a target came up, or that it answered."""
         self._out.pop(name, None)
         self._reached[name] = now
@@ -85,7 +85,7 @@
             Seconds for which what this box saw for itself counts more.
 
         >>> reach = Reach()
-        >>> reach.note_reached('a', 9.0)
+        >>> reach.record_reached('a', 9.0)
         >>> reach.suspect('a', 10.0)
         >>> reach.is_out('a')
         False
@@ -102,7 +102,7 @@
         """Take in that a target is back for another box.
 
         >>> reach = Reach()
-        >>> reach.note_failed('a', 10.0, watched=True)
+        >>> reach.record_failed('a', 10.0, watched=True)
         >>> reach.list_due(11.0)
         []
         >>> reach.hasten('a', 11.0)
@@ -129,10 +129,10 @@
         """List the targets that other boxes are told of.
 
         >>> reach = Reach()
-        >>> reach.note_failed('a', 10.0)
+        >>> reach.record_failed('a', 10.0)
         >>> reach.list_told()
         ()
-        >>> reach.note_failed('a', 10.5)
+        >>> reach.record_failed('a', 10.5)
         >>> reach.list_told()
         ('a',)
         """
--- a/landingspool/decisions/gateway/rests.py
+++ b/landingspool/decisions/gateway/rests.py
@@ -73,13 +73,13 @@
         self._known = collections.OrderedDict()
         self._ended = []
 
-    def note_asked(self, name, seconds, now):
+    def record_asked(self, name, seconds, now):
         """Take in that a target asks for so many seconds of rest.
 
         >>> import random
         >>> rests = Rests(random.Random(1))
-        >>> rests.note_asked('t', 3.0, 10.0)
-        >>> rests.note_asked('t', 0.5, 10.2)
+        >>> rests.record_asked('t', 3.0, 10.0)
+        >>> rests.record_asked('t', 0.5, 10.2)
         >>> rests.may_send('t', 13.0), rests.may_send('t', 13.31)
         (False, True)
         """
@@ -94,13 +94,13 @@
         self._known.move_to_end(name)
         bounded.trim(self._known, MOST_KNOWN)
 
-    def note_sent(self, name, now):
+    def record_sent(self, name, now):
         """Note that a request goes to a target."""
         known = self._known.get(name)
         if known is not None:
             self._known[name] = known._replace(tried=now)
 
-    def note_answered(self, name, asked):
+    def record_answered(self, name, asked):
         """Note that a target has answered the request sent to it at `asked`.
 
         What is asked beside the requests takes no place there, so that its
@@ -108,14 +108,14 @@
 
         >>> import random
         >>> rests = Rests(random.Random(1))
-        >>> rests.note_asked('t', 1.0, 10.0)
-        >>> rests.note_answered('t', 10.1)
+        >>> rests.record_asked('t', 1.0, 10.0)
+        >>> rests.record_answered('t', 10.1)
         >>> rests.may_send('t', 10.5)
         False
-        >>> rests.note_sent('t', 11.2)
+        >>> rests.record_sent('t', 11.2)
         >>> rests.may_send('t', 11.3), rests.may_send('t', 12.3)
         (False, True)
-        >>> rests.note_answered('t', 11.2)
+        >>> rests.record_answered('t', 11.2)
         >>> rests.may_send('t', 11.3)
         True
         """
@@ -156,7 +156,7 @@
 
         >>> import random
         >>> rests = Rests(random.Random(1))
-        >>> rests.note_asked('t', 1.0, 10.0)
+        >>> rests.record_asked('t', 1.0, 10.0)
         >>> rests.take_over(10.5), rests.take_over(11.2), rests.take_over(11.3)
         ([], ['t'], [])
         """
--- a/landingspool/decisions/gateway/rollouts.py
+++ b/landingspool/decisions/gateway/rollouts.py
@@ -109,7 +109,7 @@
         self._claim = None
         self._since = 0.0
 
-    def note(self, claim, now):
+    def record(self, claim, now):
         """Note the newest claim that was read."""
         if self._claim is None or claim.fence > self._claim.fence:
             self._claim = claim
@@ -121,7 +121,7 @@
         >>> watch = Watch(3.0)
         >>> watch.may_claim('a', 0.0)
         True
-        >>> watch.note(Claim('b', 7), 1.0)
+        >>> watch.record(Claim('b', 7), 1.0)
         >>> watch.may_claim('a', 2.0), watch.may_claim('a', 6.0)
         (False, True)
         """
@@ -186,7 +186,7 @@
     def __init__(self):
         self._pending = {}
 
-    def note(self, order, now, state):
+    def record(self, order, now, state):
         """Note what became of an order."""
         self._pending[order.target] = Pending(order, now, state)
 
@@ -210,7 +210,7 @@
         >>> orders = rollout.plan('m', 2, {'a': 1, 'b': 1, 'c': 2}, 1, 0.0)
         >>> orders
         [Order(target='a', model='m', version=2)]
-        >>> rollout.note(orders[0], 0.0, ACCEPTED)
+        >>> rollout.record(orders[0], 0.0, ACCEPTED)
         >>> rollout.plan('m', 2, {'a': 1, 'b': 1, 'c': 2}, 1, 1.0)
         []
         """
--- a/landingspool/decisions/gateway/room.py
+++ b/landingspool/decisions/gateway/room.py
@@ -27,9 +27,9 @@
         self._bars = bars
         self._scarcity = scarcity.Scarcity()
 
-    def note(self, work, now):
+    def record(self, work, now):
         """Note that a request has come."""
-        self._scarcity.note(work.service, work.route.priority, now)
+        self._scarcity.record(work.service, work.route.priority, now)
 
     def take(self, work, table, now):
         """Tell whether a request may have some of the room that is scarce."""
--- a/landingspool/decisions/gateway/rumors.py
+++ b/landingspool/decisions/gateway/rumors.py
@@ -1,4 +1,4 @@
-"""Words that a box has still to tell the others, some times each.
+"""Notices that a box has still to tell the others, some times each.
 
 Digests are small and may be lost: each takes the words that matter most, and
 a word goes into several of them.  Who hears a new one tells it on, so that
@@ -7,7 +7,7 @@
 
 from landingspool.decisions.gateway import neighbours
 
-# Words in one digest: 23 bytes each, so that it stays in one packet.
+# Notices in one digest: 23 bytes each, so that it stays in one packet.
 MOST_TOLD = 40
 # Digests in which a word is told, so that a lost datagram does not matter: of
 # 195 boxes all hear it within 2.8 s though 30 % of the datagrams are lost.
@@ -38,12 +38,12 @@
 
         Returns
         -------
-        list of neighbours.Word
+        list of neighbours.CrashNotice
 
         >>> rumors = Rumors()
         >>> rumors.put(b'f', 7, 1.0)
         >>> rumors.tell(1.5, lambda fingerprint: 1)
-        [Word(fingerprint=b'f', life=7, age_ms=500)]
+        [CrashNotice(fingerprint=b'f', life=7, age_ms=500)]
         >>> [len(rumors.tell(1.5, lambda fingerprint: 1)) for _ in 'abc']
         [1, 1, 0]
         """
@@ -52,14 +52,14 @@
         )
         words = []
         for key in order[:MOST_TOLD]:
-            words.append(make_word(*key, self._at[key], now))
+            words.append(make_notice(*key, self._at[key], now))
             self._told[key] += 1
             if self._told[key] >= TELLS:
                 del self._told[key], self._at[key]
         return words
 
 
-def make_word(fingerprint, life, at, now):
+def make_notice(fingerprint, life, at, now):
     """Give the word of what happened at `at`."""
     age_ms = max(int((now - at) * 1000), 0)
-    return neighbours.Word(fingerprint, life, age_ms)
+    return neighbours.CrashNotice(fingerprint, life, age_ms)
--- a/landingspool/decisions/gateway/scarcity.py
+++ b/landingspool/decisions/gateway/scarcity.py
@@ -43,7 +43,7 @@
         self._promised = {}
         self._due = {}
 
-    def note(self, service, priority, now):
+    def record(self, service, priority, now):
         """Note that a request has come.
 
         Parameters
@@ -60,7 +60,7 @@
 
         >>> scarcity = Scarcity()
         >>> for _ in range(8):
-        ...     scarcity.note('s', 0, 1.0)
+        ...     scarcity.record('s', 0, 1.0)
         >>> scarcity.find_left('s', 0, 3.0, 1.0)
         3.0
         >>> scarcity.find_left('s', 2, 3.0, 1.0)
@@ -86,7 +86,7 @@
 
         >>> scarcity = Scarcity()
         >>> for _ in range(8):
-        ...     scarcity.note('s', 0, 1.0)
+        ...     scarcity.record('s', 0, 1.0)
         >>> scarcity.take('s', 0, 2.0, 1.0), scarcity.take('s', 2, 2.0, 1.0)
         (True, False)
         >>> [scarcity.take('s', 2, 4.0, at) for at in (1.0, 1.1, 1.2)]
--- a/landingspool/decisions/gateway/shares.py
+++ b/landingspool/decisions/gateway/shares.py
@@ -132,7 +132,7 @@
 
         >>> shares, quota = Shares(), Quota(1, 1, 2.0)
         >>> shares.set_members('a', 'a', 0.0)
-        >>> shares.note_sent('t', 9.5)
+        >>> shares.record_sent('t', 9.5)
         >>> shares.find_wait('t', quota, 10.0), shares.find_wait('t', quota, 1)
         (1.5, None)
         """
@@ -144,7 +144,7 @@
             return 0.0
         return sent[len(sent) - most] + quota.window_s - now
 
-    def note_sent(self, name, now):
+    def record_sent(self, name, now):
         """Note that a request goes to a target."""
         sent = self._sent.setdefault(name, collections.deque())
         sent.append(now)
--- a/landingspool/decisions/gateway/view.py
+++ b/landingspool/decisions/gateway/view.py
@@ -96,8 +96,8 @@
         if state == fleet_module.OVER:
             return state
         if before not in (None, entry.name):
-            self.note_over(before, now)
-        self.bars.coldness.note_told(entry.name, entry.cold_s, now)
+            self.record_over(before, now)
+        self.bars.coldness.record_told(entry.name, entry.cold_s, now)
         return state
 
     def withdraw_evacuation(self, domain, now):
@@ -105,12 +105,12 @@
         entries = self.fleet.entries.values()
         return self.bars.withdraw_evacuation(domain, entries, self.table, now)
 
-    def note_back(self, name, now):
+    def record_back(self, name, now):
         """Note that this box can connect to a target again."""
         entry = self.fleet.entries.get(name)
-        self.reach.note_reached(name, now)
+        self.reach.record_reached(name, now)
         if entry is not None:
-            self.bars.note_back(entry, self.table, now)
+            self.bars.record_back(entry, self.table, now)
 
     def list_services(self):
         """List the names of the published services."""
@@ -194,7 +194,7 @@
         if work.prompt is None or not candidates:
             return candidates
         taken, places = choice.count_taken(candidates)
-        self.partition.note_room(
+        self.partition.record_room(
             partition_module.measure_room(taken, places, len(candidates)),
             held.share,
         )
@@ -250,38 +250,38 @@
             return 1
         return max(known.max_connections // (2 * self.boxes), 1)
 
-    def note_sent(self, plan, work, now):
+    def record_sent(self, plan, work, now):
         """Note that a request goes to a target."""
         tokens = held = 0
         if work.prompt is not None:
             tokens = plan.read_tokens
             stored = prompts.count_read(work.prompt, plan.transfer.tokens)
-            self.partition.note(stored, now)
+            self.partition.record(stored, now)
             held = plans.count_held(work)
         sent = loads_module.Sent(now, tokens, False, held)
-        self.loads.note_sent(plan.entry.name, work.name, sent)
-        self.bars.note_sent(plan.entry.name, now)
+        self.loads.record_sent(plan.entry.name, work.name, sent)
+        self.bars.record_sent(plan.entry.name, now)
 
-    def note_first(self, plan, work, now):
+    def record_first(self, plan, work, now):
         """Note that the answer to a request has begun."""
         name = plan.entry.name
         if name not in self.fleet.entries:
             # What a life that is over sends says nothing of the next one.
             return
-        self.loads.note_heard(name, now)
-        self.reach.note_reached(name, now)
-        sent = self.loads.note_first(name, work.name)
+        self.loads.record_heard(name, now)
+        self.reach.record_reached(name, now)
+        sent = self.loads.record_first(name, work.name)
         if sent is not None:
-            self.endings.note_alive(name, sent.at)
+            self.endings.record_alive(name, sent.at)
         if sent is None or work.prompt is None:
             return
         aim_s = work.route.target_latency_s
-        self.lateness.note_first(work.service, now - sent.at, aim_s, now)
+        self.lateness.record_first(work.service, now - sent.at, aim_s, now)
         if plan.space:
             parts = prompts.list_shared(work.prompt)
             self.warmth.add_read(name, plan.space, parts, now)
 
-    def note_answer(self, plan, wait_s, failed):
+    def record_answer(self, plan, wait_s, failed):
         """Learn from an answer of a target.
 
         Parameters
@@ -293,14 +293,14 @@
             return
         known = self.get_health(plan.entry.name)
         beyond = max(wait_s - plan.expected_s, 0.0)
-        self._health[plan.entry.name] = health_module.note_answer(
+        self._health[plan.entry.name] = health_module.record_answer(
             known, beyond, failed
         )
 
-    def note_loss(self, name, now, certain=False):
+    def record_loss(self, name, now, certain=False):
         """Learn from a request that a target did not answer."""
         known = self.get_health(name)
-        self._health[name] = health_module.note_loss(known, now, certain)
+        self._health[name] = health_module.record_loss(known, now, certain)
 
     def take_digest(self, digest, now):
         """Take in what another box has under way, and what it found out."""
@@ -317,17 +317,17 @@
         for word in digest.leaving:
             self.bars.leaving.take(word, digest.box, now)
         for store, counted in digest.rooms.items():
-            self.warmth.note_taken(store, *counted)
+            self.warmth.record_taken(store, *counted)
 
     def _suspect(self, name, now):
         duty = self.watching.is_duty(name)
         sure_s = reach_module.WATCHER_SURE_S if duty else reach_module.SURE_S
         self.reach.suspect(name, now, sure_s)
 
-    def note_unreached(self, name, now):
+    def record_unreached(self, name, now):
         """Note that no connection of this box to a target came up."""
         watched = self.watching.is_watched(name, now)
-        self.reach.note_failed(name, now, watched)
+        self.reach.record_failed(name, now, watched)
 
     def get_health(self, name):
         """Give the Health of a target."""
@@ -335,8 +335,8 @@
 
     def count_first(self, work, now):
         """Count a request for the retry budget of its service."""
-        self._get_allowance(work.service).note_first(now)
-        self.room.note(work, now)
+        self._get_allowance(work.service).record_first(now)
+        self.room.record(work, now)
 
     def may_repeat(self, service, now):
         """Take one repeat from the retry budget of a service."""
@@ -347,10 +347,10 @@
         entry = self.fleet.entries.get(name)
         return entry is not None and self.bars.may_call(entry, now)
 
-    def note_over(self, name, now):
+    def record_over(self, name, now):
         """Take in that the life of a target is over."""
-        self.endings.note_over(name, now)
-        self.bars.leaving.note_over(name)
+        self.endings.record_over(name, now)
+        self.bars.leaving.record_over(name)
         self.forget(name)
 
     def forget(self, name):
--- a/landingspool/decisions/gateway/warmth.py
+++ b/landingspool/decisions/gateway/warmth.py
@@ -168,7 +168,7 @@
         )
         return not news.whole and (news.lost or fresh)
 
-    def note_taken(self, name, epoch, taken):
+    def record_taken(self, name, epoch, taken):
         """Take in how much of a store's room was taken, as another box saw.
 
         Parameters
--- a/landingspool/decisions/gateway/watching.py
+++ b/landingspool/decisions/gateway/watching.py
@@ -60,7 +60,7 @@
         back = known.unreached - word.unreached
         return frozenset(t for t in back if box in self.list_watchers(t))
 
-    def leave_out(self, seconds):
+    def exclude_stall(self, seconds):
         """Leave out seconds for which this box did not run."""
         for box, word in self._words.items():
             self._words[box] = word._replace(at=word.at + seconds)
--- a/landingspool/decisions/keeper.py
+++ b/landingspool/decisions/keeper.py
@@ -108,7 +108,7 @@
         list of Export or Free
         """
         for key in flight.keys:
-            self.shelf.note_use(key, now)
+            self.shelf.record_use(key, now)
         if target is None or target.report is None:
             return []
         for depth, key in enumerate(flight.keys):
@@ -135,7 +135,7 @@
         state = blocks.advance(blocks.State.WRITING, 'seal')
         self._states[key] = blocks.advance(state, 'offer')
         self._block_bytes = block.length
-        directory.note_stored(workspace, block, identity.PIECE_TOKENS)
+        directory.record_stored(workspace, block, identity.PIECE_TOKENS)
         return []
 
     def failed(self, key, store, now):
@@ -188,7 +188,9 @@
         if not room:
             return [Free(row.block.store, row.block.write)]
         self._states[row.block.key] = blocks.State.OFFERED
-        directory.note_stored(row.workspace, row.block, identity.PIECE_TOKENS)
+        directory.record_stored(
+            row.workspace, row.block, identity.PIECE_TOKENS
+        )
         return self._evict(gone, directory)
 
     def _keep(self, wish, directory, shares, now):
@@ -242,7 +244,7 @@
             # First off the offer, then freed: a reader that is under way
             # finds the seal gone and computes the context again.
             stored = directory.get_stored(kept.key)
-            directory.note_freed([kept.key])
+            directory.record_freed([kept.key])
             self._states.pop(kept.key, None)
             if stored is not None:
                 actions.append(Free(stored.block.store, stored.block.write))
--- a/landingspool/decisions/membership.py
+++ b/landingspool/decisions/membership.py
@@ -171,7 +171,7 @@
             return [(asker, messages.Ack(number, message.subject, marks))]
         pending = self._pending.pop(message.number, None)
         if pending is not None:
-            self._note_alive(pending.subject, now)
+            self._record_alive(pending.subject, now)
         return []
 
     def _on_probe_for(self, sender, message, now):
@@ -182,7 +182,7 @@
         marks = self._pick_marks()
         return [(message.subject, messages.Probe(number, marks))]
 
-    def _note_alive(self, name, now):
+    def _record_alive(self, name, now):
         peer = self._peers.get(name)
         if peer is None or peer.mark.state != SUSPECT:
             return
--- a/landingspool/decisions/node.py
+++ b/landingspool/decisions/node.py
@@ -333,7 +333,7 @@
 
     @handles(messages.Summary)
     def _on_summary(self, sender, message, now):
-        self.pools.note_summary(message, now)
+        self.pools.record_summary(message, now)
         return []
 
     @handles(messages.Leaving)
--- a/landingspool/decisions/pool.py
+++ b/landingspool/decisions/pool.py
@@ -115,7 +115,7 @@
             self.breaker = retries.Breaker()
             self._busy = Busy()
         elif self.report:
-            self._note_progress(report, made)
+            self._record_progress(report, made)
         self.report = report
         self.made = made
         self.heard = now
@@ -174,7 +174,7 @@
         """Learn from a finished request how long it held its place."""
         self.hold += HOLD_SMOOTHING * (held - self.hold)
 
-    def _note_progress(self, report, made):
+    def _record_progress(self, report, made):
         # Between two reports with work waiting at both ends the target was
         # busy all the time, and what it worked off says how fast it is,
         # long before a slow request has ended.
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -184,11 +184,11 @@
         if owned is None:
             return []
         found = [owned.directory.get_stored(key) for key in keys]
-        owned.directory.note_freed(keys)
+        owned.directory.record_freed(keys)
         failed = [stored.block for stored in found if stored is not None]
         return self.keepers[pool].reject(failed)
 
-    def note_summary(self, summary, now):
+    def record_summary(self, summary, now):
         """Take in another domain's summary."""
         for room in summary.rooms:
             rooms = self._rooms.setdefault(room.model, {})
--- a/landingspool/decisions/retention.py
+++ b/landingspool/decisions/retention.py
@@ -54,12 +54,12 @@
         self._counts = [0.0] * (len(GAP_BOUNDS_S) + 1)
         self._ended = 0.0
 
-    def note_return(self, gap):
+    def record_return(self, gap):
         """Count a prompt that returned after `gap` seconds."""
         self._forget()
         self._counts[bisect.bisect_left(GAP_BOUNDS_S, gap)] += 1
 
-    def note_ended(self):
+    def record_ended(self):
         """Count a prompt that was given up without a return."""
         self._forget()
         self._ended += 1
@@ -129,13 +129,13 @@
         self._by_store = collections.Counter()
         self._by_workspace = collections.defaultdict(collections.OrderedDict)
 
-    def note_use(self, key, now):
+    def record_use(self, key, now):
         """Note that a block was wanted again; learns its return gap."""
         kept = self.kept.get(key)
         if kept is None:
             return
         if now > kept.used:
-            self._gaps[kept.workspace].note_return(now - kept.used)
+            self._gaps[kept.workspace].record_return(now - kept.used)
         again = kept._replace(used=now, returns=kept.returns + 1)
         self.kept[key] = again
         self._by_workspace[kept.workspace].move_to_end(key)
@@ -169,7 +169,7 @@
             passed.add(victim.key)
             need -= victim.bytes
         for victim in gone:
-            self._gaps[victim.workspace].note_ended()
+            self._gaps[victim.workspace].record_ended()
             self.drop(victim.key)
         self.kept[kept.key] = kept
         self._by_workspace[kept.workspace][kept.key] = True
--- a/landingspool/decisions/retries.py
+++ b/landingspool/decisions/retries.py
@@ -62,16 +62,16 @@
     wait: float = OPEN_S
 
 
-def note_success(breaker, now):
+def record_success(breaker, now):
     """Give the breaker after a success: closed."""
     return Breaker()
 
 
-def note_failure(breaker, now):
+def record_failure(breaker, now):
     """Give the breaker after a failure.
 
     >>> breaker = Breaker()
-    >>> for _ in range(3): breaker = note_failure(breaker, 10.0)
+    >>> for _ in range(3): breaker = record_failure(breaker, 10.0)
     >>> breaker.state, breaker.until
     ('open', 12.0)
     """
--- a/landingspool/decisions/scheduler.py
+++ b/landingspool/decisions/scheduler.py
@@ -224,12 +224,12 @@
     def take_events(self, name, events, gap):
         """Take in cache events of a target; a gap makes all doubtful."""
         if gap:
-            self.directory.note_gap(name)
+            self.directory.record_gap(name)
         for event in events:
             if event.kind == 'removed':
-                self.directory.note_evicted(name, [event.piece])
+                self.directory.record_evicted(name, [event.piece])
             else:
-                self.directory.note_cached(name, [event.piece])
+                self.directory.record_cached(name, [event.piece])
 
     def tick(self, now):
         """Take back lapsed grants, refuse what can't be served any more.
@@ -259,7 +259,7 @@
             self.model, free, round(delay, 3), prefill, len(usable)
         )
 
-    def note_room(self, domain, room, now):
+    def record_room(self, domain, room, now):
         """Take in another domain's summary of its pool."""
         self.rooms[domain] = spill.Heard(room, now)
 
@@ -401,7 +401,7 @@
             message,
         )
         self._set_flight(flight)
-        self.directory.note_cached(view.target, found.keys)
+        self.directory.record_cached(view.target, found.keys)
         return outputs.Send(work.entry, message)
 
     def _set_flight(self, flight):
@@ -474,13 +474,13 @@
         return notes
 
     def _end_well(self, target, flight, done, now):
-        target.breaker = retries.note_success(target.breaker, now)
+        target.breaker = retries.record_success(target.breaker, now)
         target.learn(done.held)
-        self.directory.note_cached(flight.target, flight.keys)
+        self.directory.record_cached(flight.target, flight.keys)
 
     def _end_failed(self, target, flight, done, now):
-        target.breaker = retries.note_failure(target.breaker, now)
-        self.directory.note_evicted(flight.target, flight.keys)
+        target.breaker = retries.record_failure(target.breaker, now)
+        self.directory.record_evicted(flight.target, flight.keys)
 
     def _end_unused(self, target, flight, done, now):
         if target.breaker.state == retries.PROBING:
--- a/landingspool/decisions/timing.py
+++ b/landingspool/decisions/timing.py
@@ -8,7 +8,7 @@
 MOST_SILENCE_S = 0.75
 
 
-def measure_standstill(last, now):
+def measure_stall(last, now):
     """Give the seconds for which the process seems not to have run.
 
     Parameters
@@ -16,9 +16,9 @@
     last : float or None
         When it is last known to have run; None: it has only begun.
 
-    >>> measure_standstill(10.0, 10.2), measure_standstill(10.0, 15.25)
+    >>> measure_stall(10.0, 10.2), measure_stall(10.0, 15.25)
     (0.0, 5.25)
-    >>> measure_standstill(None, 15.0)
+    >>> measure_stall(None, 15.0)
     0.0
     """
     if last is None or now - last <= MOST_SILENCE_S:
@@ -30,7 +30,7 @@
     """The last time at which the timer is known to have run.
 
     >>> beat = Beat()
-    >>> beat.note(10.0)
+    >>> beat.record(10.0)
     >>> beat.is_fresh(10.2), beat.is_fresh(14.0)
     (True, False)
     """
@@ -38,10 +38,10 @@
     def __init__(self):
         self._last = None
 
-    def note(self, now):
+    def record(self, now):
         """Note that the timer runs at `now`."""
         self._last = now
 
     def is_fresh(self, now):
         """Tell whether the timer ran shortly before `now`."""
-        return not measure_standstill(self._last, now)
+        return not measure_stall(self._last, now)
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -60,7 +60,7 @@
             )
         except upstream_module.Broken as error:
             reason = str(error)
-            self._hub.prober.note_failed(self._plan.entry.name, reason)
+            self._hub.prober.record_failed(self._plan.entry.name, reason)
             return outcomes.Unreached(reason)
         if not self._may_send():
             self._exchange.abort()
@@ -89,7 +89,7 @@
             self._send()
             outcome = await self._receive()
         finally:
-            self._note_end(outcome)
+            self._record_end(outcome)
         return outcome
 
     def _send(self):
@@ -98,8 +98,8 @@
         progress.sends += 1
         if progress.sends > 1:
             self._hub.metrics.repeats.inc()
-        self._view.note_sent(plan, progress.work, self._sent)
-        self._view.endings.note_sent(progress.fingerprint)
+        self._view.record_sent(plan, progress.work, self._sent)
+        self._view.endings.record_sent(progress.fingerprint)
         self._hub.recorder.record(
             'dispatched',
             request=progress.call.name,
@@ -114,17 +114,17 @@
             progress.body,
         )
 
-    def _note_end(self, outcome):
+    def _record_end(self, outcome):
         name = self._plan.entry.name
         if isinstance(outcome, outcomes.Lost):
             self._exchange.abort()
             self._record_loss(outcome)
-        self._view.loads.note_end(name, self._progress.work.name)
-        self._note_ending(outcome)
+        self._view.loads.record_end(name, self._progress.work.name)
+        self._record_ending(outcome)
         if not isinstance(outcome, outcomes.Rejected):
             self._progress.may_have_run = True
 
-    def _note_ending(self, outcome):
+    def _record_ending(self, outcome):
         """Count the try for what its request does to targets.
 
         By what it asks for, since each arrival has another name, and here,
@@ -132,14 +132,14 @@
         """
         endings, name = self._view.endings, self._plan.entry.name
         fingerprint, now = self._progress.fingerprint, self._hub.clock()
-        endings.note_done(fingerprint)
+        endings.record_done(fingerprint)
         if isinstance(outcome, outcomes.Done):
-            endings.note_served(fingerprint, now)
+            endings.record_served(fingerprint, now)
         elif isinstance(outcome, outcomes.Lost):
             if outcome.cause == outcomes.Cause.CLOSED:
-                endings.note_lost(fingerprint, name, now)
+                endings.record_lost(fingerprint, name, now)
             elif outcome.cause in outcomes.UNANSWERED:
-                endings.note_silent(fingerprint, name, now)
+                endings.record_silent(fingerprint, name, now)
         self._hub.marks.look()
 
     def _record_loss(self, outcome):
@@ -189,8 +189,8 @@
             return self._lose('silent', outcomes.Cause.SILENT)
         except upstream_module.Broken as error:
             return self._lose_broken(error)
-        self._note_version(head.version)
-        self._note_words(head)
+        self._record_version(head.version)
+        self._record_words(head)
         if head.not_run:
             return await self._take_rejection(head)
         if not is_answer_to(head, self._progress.call.name):
@@ -252,7 +252,7 @@
         wait = self._hub.timer.measure_run(self._sent)
         # Who asks for rest is short of room, and has said for how long.
         failed = head.status >= 500 and not head.words.asks_rest
-        self._view.note_answer(self._plan, wait, failed)
+        self._view.record_answer(self._plan, wait, failed)
         return outcomes.Failed(head, bytes(body))
 
     async def _pass_on(self, head):
@@ -267,7 +267,7 @@
         return await self._pass_long(head, bytes(body))
 
     async def _pass_whole(self, head, body):
-        self._note_first()
+        self._record_first()
         self._exchange.release()
         rows = answers.relay_headers(head)
         await self._progress.reply.send_whole(head.status, rows, body)
@@ -275,7 +275,7 @@
 
     async def _pass_long(self, head, body):
         """Pass on an answer of which `body` is the beginning."""
-        self._note_first()
+        self._record_first()
         reply = self._progress.reply
         await reply.start(head.status, answers.relay_headers(head), body)
         while data := await self._exchange.read_data():
@@ -295,11 +295,11 @@
                 return self._lose('paused', outcomes.Cause.PAUSED)
             if not data:
                 break
-            self._view.loads.note_heard(name, self._hub.clock())
-            self._note_version(await stream.take(data))
+            self._view.loads.record_heard(name, self._hub.clock())
+            self._record_version(await stream.take(data))
             if stream.events and not stream.noted:
                 stream.noted = True
-                self._note_first()
+                self._record_first()
         if not stream.is_whole():
             return outcomes.Lost(
                 'ended within an event', outcomes.Cause.MALFORMED
@@ -329,7 +329,7 @@
         if error.silent:
             entry = self._plan.entry
             self._hub.upstream.drop(entry.address)
-            self._hub.prober.note_failed(entry.name, str(error))
+            self._hub.prober.record_failed(entry.name, str(error))
             return self._lose(str(error), outcomes.Cause.DEAD_PATH)
         if self._exchange.is_ended:
             return self._lose(str(error), outcomes.Cause.CLOSED)
@@ -337,16 +337,16 @@
 
     def _note_loss(self, certain):
         name = self._plan.entry.name
-        self._view.note_loss(name, self._hub.clock(), certain)
+        self._view.record_loss(name, self._hub.clock(), certain)
 
-    def _note_first(self):
+    def _record_first(self):
         now = self._hub.clock()
-        self._view.note_first(self._plan, self._progress.work, now)
+        self._view.record_first(self._plan, self._progress.work, now)
         wait_s = self._hub.timer.measure_run(self._sent)
-        self._view.note_answer(self._plan, wait_s, False)
-        self._progress.note_first(now)
+        self._view.record_answer(self._plan, wait_s, False)
+        self._progress.record_first(now)
 
-    def _note_words(self, head):
+    def _record_words(self, head):
         if head.status == answers.MISDIRECTED:
             # Another target has the address now.
             return
@@ -358,14 +358,14 @@
         name = self._plan.entry.name
         self._hub.hearing.take(name, head.words, self._sent, certain)
         if answered and not head.words.asks_rest:
-            self._view.bars.rests.note_answered(name, self._sent)
+            self._view.bars.rests.record_answered(name, self._sent)
 
-    def _note_version(self, version):
+    def _record_version(self, version):
         prompt = self._progress.work.prompt
         if version is None or prompt is None:
             return
         name = self._plan.entry.name
-        self._view.fleet.note_version(name, prompt.model, version)
+        self._view.fleet.record_version(name, prompt.model, version)
 
 
 def is_proved(view, now):
--- a/landingspool/gateway/figures.py
+++ b/landingspool/gateway/figures.py
@@ -69,14 +69,14 @@
         self.seconds = self._observe('answer', 'Time to the whole answer')
         self.first = self._observe('first_byte', 'Time to the first byte')
 
-    def note_answer(self, answer, seconds, first_s):
+    def record_answer(self, answer, seconds, first_s):
         """Count a final answer."""
         self.answers.labels(str(answer.status), answer.reason[:40]).inc()
         self.seconds.observe(seconds)
         if first_s is not None:
             self.first.observe(first_s)
 
-    def note_targets(self, cold, evacuated, parted):
+    def record_targets(self, cold, evacuated, parted):
         """Note what keeps requests from targets.
 
         Parameters
@@ -94,7 +94,7 @@
             self.evacuated.labels(domain).set(seconds)
         self.parted.set(parted)
 
-    def note_limits(self, named, used, now):
+    def record_limits(self, named, used, now):
         """Note which targets name a limit.
 
         Parameters
@@ -111,7 +111,7 @@
             self.limit_ages.labels(name).set(now - known.heard)
             self.limits_used.labels(name).set(used[name])
 
-    def note_leaving(self, ages_s):
+    def record_leaving(self, ages_s):
         """Note which targets have said that they leave.
 
         Parameters
@@ -123,7 +123,7 @@
         for name, age_s in ages_s.items():
             self.leaving_ages.labels(name).set(age_s)
 
-    def note_resting(self, left_s):
+    def record_resting(self, left_s):
         """Note which targets have asked this box for rest.
 
         Parameters
--- a/landingspool/gateway/following.py
+++ b/landingspool/gateway/following.py
@@ -104,12 +104,12 @@
             sent = self._hub.clock()
             reply = await self._wait(asyncio.ensure_future(read()))
             if reply is not None and not is_failure(reply):
-                self._note_state(True, kind)
+                self._record_state(True, kind)
                 return reply
             if reply is None or not self._hub.timer.ran_since(sent):
                 pause = PAUSE_S
                 continue
-            self._note_state(False, reply.reason)
+            self._record_state(False, reply.reason)
             await self._rest(pause)
             pause = min(pause * 2, MOST_PAUSE_S)
 
@@ -156,26 +156,26 @@
     def _take_newest(self, newest):
         for record in newest.records:
             self._take(record)
-        self._note_read(newest.sent)
+        self._record_read(newest.sent)
 
     def _take_page(self, page):
         for record in page.records:
             self._take(record)
         if page.whole:
-            self._note_read(page.sent)
+            self._record_read(page.sent)
 
     def _take(self, record):
         raise NotImplementedError
 
-    def _note_read(self, sent):
+    def _record_read(self, sent):
         """Note that a read which was sent at `sent` is answered."""
 
-    def _note_malformed(self, record, error):
+    def _record_malformed(self, record, error):
         self._hub.recorder.record(
             'malformed', key=record.key, reason=str(error)
         )
 
-    def _note_state(self, up, reason):
+    def _record_state(self, up, reason):
         self.was_tried = True
         if up != self._up:
             name = 'log_up' if up else 'log_down'
@@ -234,7 +234,7 @@
                 self._take_version(record.value)
         except catalogue.Malformed as error:
             # The newest good table stays in force.
-            self._note_malformed(record, error)
+            self._record_malformed(record, error)
 
     def _take_version(self, value):
         model, version = catalogue.read_version(value)
@@ -245,14 +245,14 @@
                 'version_named', model=model, version=version
             )
 
-    def _note_read(self, sent):
-        self._hub.view.proof.note(sent)
-        self._hub.resumption.note_read(is_answered=True)
+    def _record_read(self, sent):
+        self._hub.view.proof.record(sent)
+        self._hub.resumption.record_read(is_answered=True)
 
-    def _note_state(self, up, reason):
-        super()._note_state(up, reason)
+    def _record_state(self, up, reason):
+        super()._record_state(up, reason)
         if not up:
-            self._hub.resumption.note_read(is_answered=False)
+            self._hub.resumption.record_read(is_answered=False)
 
 
 def is_failure(reply):
@@ -333,8 +333,8 @@
         try:
             claim = catalogue.read_claim(record.value, record.offset)
         except catalogue.Malformed as error:
-            self._note_malformed(record, error)
+            self._record_malformed(record, error)
             return
         now = self._hub.clock()
-        self._watch.note(claim, now)
+        self._watch.record(claim, now)
         self._hub.view.weights.put_loading(claim.loading, now)
--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/hearing.py
@@ -5,7 +5,7 @@
 from landingspool.decisions.gateway import neighbours
 from landingspool.gateway import marks
 from landingspool.platform import limits as field
-from landingspool.platform import words as words_module
+from landingspool.platform import notices as words_module
 
 
 class Called(typing.NamedTuple):
@@ -42,7 +42,7 @@
         ----------
         name : str
             Of the target's life.
-        words : words.Words
+        words : words.Notices
         asked : float
             When the request went out.
         certain : bool
@@ -54,7 +54,7 @@
         self._take_leaving(name, words.leaving)
         for title, word in words._asdict().items():
             if isinstance(word, field.Unreadable):
-                self._note_unreadable(name, title, word.text)
+                self._record_unreadable(name, title, word.text)
 
     def begin_call(self, address):
         """Give the Called of a call to an address that goes out now."""
@@ -71,7 +71,7 @@
         Parameters
         ----------
         called : Called
-        words : words.Words
+        words : words.Notices
         """
         for name in called.lives:
             self.take(name, words, called.asked, certain=False)
@@ -134,9 +134,9 @@
         now = self._hub.clock()
         named = self._limits.list_named(entries)
         used = {name: self._limits.find_used(name, now) for name in named}
-        self._hub.metrics.note_limits(named, used, now)
-        self._hub.metrics.note_leaving(self.list_leaving(now))
-        self._hub.metrics.note_resting(self._rests.list_resting(now))
+        self._hub.metrics.record_limits(named, used, now)
+        self._hub.metrics.record_leaving(self.list_leaving(now))
+        self._hub.metrics.record_resting(self._rests.list_resting(now))
 
     def list_leaving(self, now):
         """Give the seconds since listed targets said that they leave."""
@@ -153,20 +153,20 @@
     def _take_limit(self, name, limit, asked, certain):
         now = self._hub.clock()
         if isinstance(limit, field.Named):
-            self._limits.note_named(name, limit.per_s, asked, now)
+            self._limits.record_named(name, limit.per_s, asked, now)
             self._hub.peering.hurry()
         elif isinstance(limit, field.Unnamed) and certain:
-            self._limits.note_unnamed(name, asked, now)
+            self._limits.record_unnamed(name, asked, now)
 
     def _take_rest(self, name, rest):
         if isinstance(rest, words_module.Rest):
-            self._rests.note_asked(name, rest.seconds, self._hub.clock())
+            self._rests.record_asked(name, rest.seconds, self._hub.clock())
 
     def _take_leaving(self, name, leaving):
         if isinstance(leaving, words_module.Leaving):
-            self._leaving.note_told(name, self._hub.clock())
+            self._leaving.record_told(name, self._hub.clock())
 
-    def _note_unreadable(self, name, title, text):
+    def _record_unreadable(self, name, title, text):
         # One line for what a target says again and again.
         if (name, title) not in self._unreadable:
             self._unreadable.add((name, title))
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -108,11 +108,11 @@
         await self._readiness_server.start(*self.place.readiness)
         await self._start_metrics()
         await self.listener.start(self.place.callers)
-        self.timer.subscribe_standstill(self._resume)
+        self.timer.subscribe_stall(self._resume)
         self.timer.subscribe(BEAT_S, self._on_beat)
         self.timer.subscribe(prober.LOOK_S, self.prober.look)
         self.timer.subscribe(SWEEP_S, self._sweep)
-        self.timer.subscribe(FIGURES_S, self._note_figures)
+        self.timer.subscribe(FIGURES_S, self._record_figures)
         self._keep(following.Published(self).run())
         self._keep(following.Targets(self).run())
         orderer = ordering.Orderer(self)
@@ -135,10 +135,10 @@
 
     def _keep(self, work):
         task = asyncio.ensure_future(work)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._record_end)
         self._tasks.append(task)
 
-    def _note_end(self, task):
+    def _record_end(self, task):
         if task.cancelled() or task.exception() is None:
             return
         self.recorder.record('fault', reason=repr(task.exception()))
@@ -168,19 +168,19 @@
         table = self.view.table
         return DEFAULT_LIMITS if table is None else table.limits
 
-    def _resume(self, standstill):
+    def _resume(self, stall):
         """Go on after a time in which this process did not run."""
-        self.recorder.record('frozen', seconds=round(standstill.seconds, 2))
-        self.beat.note(standstill.now)
-        absence.leave_out(self.view, standstill.seconds, standstill.now)
-        self.sources.leave_out(standstill.seconds)
-        self.resumption.begin(standstill)
+        self.recorder.record('frozen', seconds=round(stall.seconds, 2))
+        self.beat.record(stall.now)
+        absence.exclude_stall(self.view, stall.seconds, stall.now)
+        self.sources.exclude_stall(stall.seconds)
+        self.resumption.begin(stall)
 
     def _on_beat(self, tick):
-        self.beat.note(tick.now)
+        self.beat.record(tick.now)
         for name in self.view.fleet.tick(tick.now):
             self.recorder.record('target_down', target=name, sure=True)
-            self.view.note_over(name, tick.now)
+            self.view.record_over(name, tick.now)
         self.marks.look()
         self.hearing.look()
 
@@ -188,14 +188,14 @@
         self.upstream.sweep()
         self.hearing.sweep()
         bars = self.view.bars
-        self.metrics.note_targets(
+        self.metrics.record_targets(
             len(bars.coldness.list_cold(tick.now)),
             bars.evacuation.describe(tick.now),
             self.view.partition.is_on,
         )
         self.metrics.barred.set(len(self.view.endings.list_barred(tick.now)))
 
-    def _note_figures(self, tick):
+    def _record_figures(self, tick):
         self.recorder.record(
             'figures',
             calls=dict(self.store.calls),
--- a/landingspool/gateway/marks.py
+++ b/landingspool/gateway/marks.py
@@ -47,7 +47,7 @@
         """Log what is new, and have it written."""
         endings = self._endings
         for fingerprint in take_all(endings.fresh):
-            self._note_barred(fingerprint)
+            self._record_barred(fingerprint)
         for fingerprint in take_all(endings.lifted):
             self._hub.recorder.record('bar_lifted', content=fingerprint.hex())
             self._put(fingerprint, b'')
@@ -64,7 +64,9 @@
                 )
             else:
                 fingerprint = bytes.fromhex(key)
-                words = [neighbours.Word(fingerprint, neighbours.NO_LIFE, 0)]
+                words = [
+                    neighbours.CrashNotice(fingerprint, neighbours.NO_LIFE, 0)
+                ]
         except (catalogue.Malformed, ValueError) as error:
             self._hub.recorder.record(
                 'malformed', key=record.key, reason=str(error)
@@ -87,9 +89,9 @@
                 key = min(self._due, key=lambda row: self._due[row].at)
                 await self._write(key, self._due[key])
 
-    def _note_barred(self, fingerprint):
+    def _record_barred(self, fingerprint):
         now = self._hub.clock()
-        words = self._endings.list_words(fingerprint, now)
+        words = self._endings.list_notices(fingerprint, now)
         lives = self._hub.view.fleet.list_lives()
         found = {neighbours.code_target(name): name for name in lives}
         self._hub.recorder.record(
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -146,7 +146,7 @@
             ]
             most = rollouts.find_room(len(targets), left)
             for order in rollout.plan(model, version, targets, most, now):
-                rollout.note(order, now, rollouts.PREPARING)
+                rollout.record(order, now, rollouts.PREPARING)
                 orders.append(order)
         return orders
 
@@ -176,11 +176,11 @@
             return
         report = await self._drain(entry, order)
         if isinstance(report, runners.Unanswered) or self._has(report, order):
-            rollout.note(order, self._hub.clock(), rollouts.REFUSED)
+            rollout.record(order, self._hub.clock(), rollouts.REFUSED)
             return
         if not report.busy:
             state = await self._send(entry, order, report)
-            rollout.note(order, self._hub.clock(), state)
+            rollout.record(order, self._hub.clock(), state)
             if state == rollouts.REFUSED:
                 return
         await self._wait(rollout, entry, order)
@@ -247,7 +247,7 @@
                 return runners.Unanswered('it has started again', True)
             version = report.versions.get(order.model)
             if version is not None:
-                self._hub.view.fleet.note_version(
+                self._hub.view.fleet.record_version(
                     entry.name, order.model, version
                 )
         return report
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -78,7 +78,7 @@
         self._readers = readers.Readers(
             place.box, place.link_mbps, self.ages.old_s
         )
-        self._socket = datagrams.Datagrams(self._take, self._note_bad)
+        self._socket = datagrams.Datagrams(self._take, self._record_bad)
         self._server = http.Server(self._answer)
 
     async def start(self):
@@ -171,7 +171,7 @@
         """Tell whether a box is left at present."""
         return self._readers.is_shunned(name, self._hub.clock())
 
-    def note_cut(self, reason):
+    def record_cut(self, reason):
         """Note that the store does not answer this box.
 
         Where others can be followed it does so, and who follows it is told
@@ -352,7 +352,7 @@
     async def _answer_changes(self, request, exchange):
         await self._hub.cachewatch.answer_changes(request, exchange)
 
-    def _note_bad(self, reason):
+    def _record_bad(self, reason):
         self._hub.recorder.record('bad_message', reason=reason)
 
 
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -24,12 +24,12 @@
         self._hub = hub
         self._probing = {}
 
-    def note_failed(self, name, reason):
+    def record_failed(self, name, reason):
         """Note that a connection did not come up, or that its path died."""
         view = self._hub.view
         if name not in view.reach.list_failed():
             self._hub.recorder.record('unreached', target=name, reason=reason)
-        view.note_unreached(name, self._hub.clock())
+        view.record_unreached(name, self._hub.clock())
 
     def look(self, tick):
         """Begin a probe of each target that is due."""
@@ -65,10 +65,10 @@
             )
         except upstream.Broken as error:
             if name in view.fleet.entries:
-                self.note_failed(name, str(error))
+                self.record_failed(name, str(error))
             return
         if known:
-            view.note_back(name, self._hub.clock())
+            view.record_back(name, self._hub.clock())
             self._hub.recorder.record('reached', target=name)
         else:
-            view.reach.note_reached(name, self._hub.clock())
+            view.reach.record_reached(name, self._hub.clock())
--- a/landingspool/gateway/progress.py
+++ b/landingspool/gateway/progress.py
@@ -91,7 +91,7 @@
         """Tell whether its route allows a further send."""
         return self.sends < self.work.route.max_attempts
 
-    def note_first(self, now):
+    def record_first(self, now):
         """Note the first byte for the caller, once."""
         if self.first_byte_s is None:
             self.first_byte_s = now - self.started
--- a/landingspool/gateway/relay.py
+++ b/landingspool/gateway/relay.py
@@ -64,7 +64,7 @@
         try:
             answer = await self._serve()
         except asyncio.CancelledError:
-            self._note('caller_gone', reason='closed')
+            self._record('caller_gone', reason='closed')
             raise
         self._finish(answer)
 
@@ -127,7 +127,7 @@
             if answer is not None:
                 return answer
             reason = outcomes.describe(outcome)
-            self._note('retried', reason=reason, **self._describe_choice())
+            self._record('retried', reason=reason, **self._describe_choice())
 
     async def _judge_done(self, outcome):
         return Answer(outcome.status, 'answered', True)
@@ -252,7 +252,7 @@
             wait_s, self._plan.pressure, self._view.rng
         )
         await self._reply.send_error(503, 'busy', after)
-        self._note(
+        self._record(
             'turned_away',
             wait_s=round(wait_s, 3),
             pressure=round(self._plan.pressure, 3),
@@ -268,7 +268,7 @@
         self._reply.abort()
         return Answer(0, reason, True)
 
-    def _note(self, event, **fields):
+    def _record(self, event, **fields):
         self._hub.recorder.record(event, request=self._call.name, **fields)
 
     def _describe_choice(self):
@@ -278,8 +278,8 @@
         progress = self._progress
         seconds = self._hub.clock() - progress.started
         first_s = progress.first_byte_s
-        self._hub.metrics.note_answer(answer, seconds, first_s)
-        self._note(
+        self._hub.metrics.record_answer(answer, seconds, first_s)
+        self._record(
             'answered' if 200 <= answer.status < 300 else 'not_served',
             status=answer.status,
             reason=answer.reason,
--- a/landingspool/gateway/resumption.py
+++ b/landingspool/gateway/resumption.py
@@ -35,15 +35,13 @@
         self._woken = asyncio.Event()
         self._over.set()
 
-    def begin(self, standstill):
+    def begin(self, stall):
         """Have the table read anew, and let requests wait for that."""
-        self._resumed_at = standstill.now
+        self._resumed_at = stall.now
         self._over.clear()
         self._woken.set()
         self._woken = asyncio.Event()
-        asyncio.get_running_loop().call_later(
-            RENEWAL_S, self._end, standstill.now
-        )
+        asyncio.get_running_loop().call_later(RENEWAL_S, self._end, stall.now)
 
     async def wait_read(self):
         """Wait until what has arrived in a standstill has been read.
@@ -61,7 +59,7 @@
         """Wait until this process has stood still."""
         await self._woken.wait()
 
-    def note_read(self, is_answered):
+    def record_read(self, is_answered):
         """Note how a read of the tables ended that was sent since then.
 
         Parameters
--- a/landingspool/gateway/sources.py
+++ b/landingspool/gateway/sources.py
@@ -65,7 +65,7 @@
         self._answered = asyncio.Event()
         self.failed_at = None
 
-    def leave_out(self, seconds):
+    def exclude_stall(self, seconds):
         """Leave out seconds for which this box did not run."""
         if self.failed_at is not None:
             self.failed_at += seconds
@@ -114,7 +114,7 @@
             else:
                 reply = await self._read_store(read_store())
             if not isinstance(reply, store_module.Unavailable):
-                self._note_answered()
+                self._record_answered()
                 return reply
             self.failed_at = self._hub.clock()
             if peer is None and peering.pick_reader() is None:
@@ -126,7 +126,7 @@
             async with asyncio.timeout(most_s):
                 await self._answered.wait()
 
-    def _note_answered(self):
+    def _record_answered(self):
         self._answered.set()
         self._answered = asyncio.Event()
 
@@ -138,7 +138,7 @@
             return store_module.Unavailable('the store: left', False)
         failed = isinstance(reply, store_module.Unavailable)
         if failed and self._hub.timer.ran_since(sent):
-            self._hub.peering.note_cut(reply.reason)
+            self._hub.peering.record_cut(reply.reason)
         return reply
 
     async def _read_box(self, peer, topic, start, hold_s):
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -28,11 +28,11 @@
         Where their topic ended for the box that gives.
     evacuated : list of str
         The evacuated failure domains.
-    endings : list of neighbours.Word
+    endings : list of neighbours.CrashNotice
         The requests under which targets ended.
-    limits : list of neighbours.LimitWord
+    limits : list of neighbours.LimitNotice
         The limits that targets name.
-    leaving : list of neighbours.LeavingWord
+    leaving : list of neighbours.LeavingNotice
         The targets that have said that they leave.
     """
 
@@ -42,9 +42,9 @@
     targets: dict[str, bytes]
     targets_end: int
     evacuated: list[str] = []
-    endings: list[neighbours.Word] = []
-    limits: list[neighbours.LimitWord] = []
-    leaving: list[neighbours.LeavingWord] = []
+    endings: list[neighbours.CrashNotice] = []
+    limits: list[neighbours.LimitNotice] = []
+    leaving: list[neighbours.LeavingNotice] = []
 
 
 class State:
@@ -97,8 +97,8 @@
             targets_end=self.targets_end,
             evacuated=self._view.bars.evacuation.list_domains(),
             endings=self._view.endings.list_known(self._hub.clock()),
-            limits=self._view.bars.limits.list_words(self._hub.clock()),
-            leaving=self._view.bars.leaving.list_words(self._hub.clock()),
+            limits=self._view.bars.limits.list_notices(self._hub.clock()),
+            leaving=self._view.bars.leaving.list_notices(self._hub.clock()),
         )
 
     def take(self, given, sent):
@@ -122,7 +122,7 @@
             # An older list would bring back targets that are gone.
             self._take_targets(given.targets)
             self.targets_end = given.targets_end
-        self._view.proof.note(sent - given.proof_s)
+        self._view.proof.record(sent - given.proof_s)
         self._hub.recorder.record(
             'state_taken',
             table=self._view.table.version,
@@ -198,7 +198,7 @@
         """
         name = self._lose_target(target, unsure)
         if name is not None and not unsure:
-            self._view.note_over(name, self._hub.clock())
+            self._view.record_over(name, self._hub.clock())
 
     def _lose_target(self, target, unsure):
         """Take a target off the list; gives the name of its life."""
--- a/landingspool/gateway/stream.py
+++ b/landingspool/gateway/stream.py
@@ -67,7 +67,7 @@
         if not cut:
             return None
         whole = held[:cut]
-        self._note_id(whole)
+        self._record_id(whole)
         if self._reply.started:
             await self._reply.send_data(whole)
         else:
@@ -85,7 +85,7 @@
             await self._reply.start(self._status, self._headers, b'')
         await self._reply.finish()
 
-    def _note_id(self, whole):
+    def _record_id(self, whole):
         for line in reversed(whole.split(b'\n')):
             if line.startswith(b'id:'):
                 self.last_event = line[3:].strip().decode('latin-1')
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -60,7 +60,7 @@
             least = leftovers.find_least(
                 model, view.fleet, view.list_services()
             )
-            before = self._leftovers.note(model, least, now)
+            before = self._leftovers.record(model, least, now)
             if before is not None:
                 found.append((model, before))
         return found
@@ -143,7 +143,7 @@
         warmth.take(address, news._replace(clock_ms=clock_ms), sent, now)
         index = warmth.get(address)
         hub.view.rooms[address] = index.epoch, index.taken
-        parts = self._broken.note(address, index, now)
+        parts = self._broken.record(address, index, now)
         if not parts:
             return
         until_ms = clock_ms + (now - asked + FREE_S) * 1000
--- a/landingspool/ledger/claimer.py
+++ b/landingspool/ledger/claimer.py
@@ -161,12 +161,12 @@
                 return False
             for offset, data in page.entries:
                 for claim, outcome in self.ledger.fold(offset, data):
-                    self._note(claim, outcome)
+                    self._record(claim, outcome)
             if self.ledger.offset + 1 >= page.next or not page.entries:
                 self.current = True
                 return True
 
-    def _note(self, claim, outcome):
+    def _record(self, claim, outcome):
         if claim.action != claims.CLAIM or claim.box != self._box:
             return
         if claim.claim not in self._waiting:
--- a/landingspool/ledger/follower.py
+++ b/landingspool/ledger/follower.py
@@ -56,9 +56,9 @@
         stream = configuration.STREAM
         page = await self._log.read(stream, self.table.offset)
         if isinstance(page, outcomes.Unavailable):
-            self._note_state(False, page.reason)
+            self._record_state(False, page.reason)
             return page
-        self._note_state(True, '')
+        self._record_state(True, '')
         if page.first > self.table.offset + 1:
             await self._restore(page)
         else:
@@ -140,17 +140,17 @@
             self._ask_peers()
             return
         for result in results:
-            self._note_result(result)
+            self._record_result(result)
         self._put(table)
 
     def _fold(self, entries):
         table = self.table
         for offset, data in entries:
             table, result = configuration.fold(table, offset, data)
-            self._note_result(result)
+            self._record_result(result)
         self._put(table)
 
-    def _note_result(self, result):
+    def _record_result(self, result):
         if result.edit and result.outcome != configuration.DUPLICATE:
             self.results[result.edit] = result
             self._trim()
@@ -191,7 +191,7 @@
             'snapshot', offset=table.offset, outcome=kind
         )
 
-    def _note_state(self, up, reason):
+    def _record_state(self, up, reason):
         if up != self.up:
             name = 'log_up' if up else 'log_down'
             self._core.recorder.record(name, reason=reason)
--- a/landingspool/platform/answers.py
+++ b/landingspool/platform/answers.py
@@ -7,7 +7,7 @@
 import typing
 
 from landingspool.platform import names
-from landingspool.platform import words as words_module
+from landingspool.platform import notices as words_module
 
 # The status of a target that now has another one's address (RFC 9110,
 # 15.5.20): it ran nothing.
@@ -25,7 +25,7 @@
         Whether it says that the request has not run and won't.
     kept_s : float or None
         Whole seconds for which the target keeps the connection.
-    words : words.Words
+    words : words.Notices
         What the answer says of the target.
     """
 
@@ -39,7 +39,7 @@
     kept_s: float | None
     version: int | None
     target: str
-    words: words_module.Words = words_module.Words()
+    words: words_module.Notices = words_module.Notices()
 
 
 def read_head(status, headers):
@@ -61,7 +61,7 @@
         kept_s=read_kept(found.get('keep-alive', '')),
         version=read_whole(found.get(names.VERSION)),
         target=found.get(names.TARGET_ID, ''),
-        words=words_module.read_head_words(status, headers),
+        words=words_module.read_head_notices(status, headers),
     )
 
 
--- a/landingspool/platform/catalogue.py
+++ b/landingspool/platform/catalogue.py
@@ -280,7 +280,7 @@
 
     Parameters
     ----------
-    words : list of neighbours.Word
+    words : list of neighbours.CrashNotice
     wall : float
         Time of day, by which those who read it tell their age.
     """
@@ -289,11 +289,11 @@
 
 
 def read_endings(key, value, wall):
-    """Decode the targets that ended under a request, as neighbours.Word.
+    """Decode the targets that ended under a request, as CrashNotice.
 
-    >>> word = neighbours.Word(b'f', 7, 500)
+    >>> word = neighbours.CrashNotice(b'f', 7, 500)
     >>> read_endings('66', write_endings([word], 10.0), 12.0)
-    [Word(fingerprint=b'f', life=7, age_ms=2500)]
+    [CrashNotice(fingerprint=b'f', life=7, age_ms=2500)]
 
     Raises
     ------
@@ -302,7 +302,7 @@
     try:
         fingerprint = bytes.fromhex(key)
         return [
-            neighbours.Word(
+            neighbours.CrashNotice(
                 fingerprint, int(life), max(int(wall * 1000) - int(at), 0)
             )
             for life, at in json.loads(value)
--- a/landingspool/platform/words.py
+++ b/landingspool/platform/notices.py
@@ -28,7 +28,7 @@
     seconds: float
 
 
-class Words(typing.NamedTuple):
+class Notices(typing.NamedTuple):
     """What one answer says of its target.
 
     Attributes
@@ -54,7 +54,7 @@
         return any(isinstance(word, wishes) for word in self)
 
 
-def read_words(status, find):
+def read_notices(status, find):
     """Read the words of an answer.
 
     Parameters
@@ -63,23 +63,23 @@
         ``find(name)`` gives the lines of a field, as a list of str.
 
     >>> rows = {'server-leaving': ['1'], 'retry-after': ['2.5']}
-    >>> words = read_words(503, lambda name: rows.get(name, []))
+    >>> words = read_notices(503, lambda name: rows.get(name, []))
     >>> words.rest, words.leaving, words.is_wish
     (Rest(seconds=2.5), Leaving(), True)
-    >>> read_words(200, lambda name: rows.get(name, [])).rest
+    >>> read_notices(200, lambda name: rows.get(name, [])).rest
     Unnamed()
     """
     rest = limits.Unnamed()
     if status == UNAVAILABLE:
         rest = read_rest(find(names.REST))
-    return Words(
+    return Notices(
         limit=limits.read_limit(find(names.LIMIT)),
         rest=rest,
         leaving=read_leaving(find(names.LEAVING)),
     )
 
 
-def read_head_words(status, headers):
+def read_head_notices(status, headers):
     """Read the words in a head.
 
     Parameters
@@ -87,10 +87,10 @@
     headers : list of tuple of bytes
         Names in lower case.
     """
-    return read_words(status, lambda name: limits.list_lines(headers, name))
+    return read_notices(status, lambda name: limits.list_lines(headers, name))
 
 
-def read_folded_words(status, headers):
+def read_folded_notices(status, headers):
     """Read the words in a head whose fields have one line each.
 
     Parameters
@@ -101,7 +101,7 @@
     def find(name):
         return [headers[name]] if name in headers else []
 
-    return read_words(status, find)
+    return read_notices(status, find)
 
 
 def read_leaving(texts):
--- a/landingspool/platform/runners.py
+++ b/landingspool/platform/runners.py
@@ -8,7 +8,7 @@
 from landingspool import http
 from landingspool.platform import catalogue
 from landingspool.platform import names
-from landingspool.platform import words
+from landingspool.platform import notices
 
 # Seconds for an answer; a report takes some ms, a held call its hold more.
 ANSWER_S = 1.0
@@ -168,7 +168,7 @@
             )
         except http.Unreachable as error:
             return Unanswered(str(error), error.sent)
-        said = words.read_folded_words(reply.status, reply.headers)
+        said = notices.read_folded_notices(reply.status, reply.headers)
         self._observer.take_beside(called, said)
         return reply
 
--- a/landingspool/timer.py
+++ b/landingspool/timer.py
@@ -27,7 +27,7 @@
     now: float
 
 
-class Standstill(typing.NamedTuple):
+class Stall(typing.NamedTuple):
     """A time in which this process did not run.
 
     Attributes
@@ -58,8 +58,8 @@
         self._sleep = sleep
         self._tasks = []
         self._seen = None
-        self._on_standstill = []
-        self._standstills = collections.deque(maxlen=MOST_KEPT)
+        self._on_stall = []
+        self._stalls = collections.deque(maxlen=MOST_KEPT)
 
     def subscribe(self, period, call):
         """Call ``call(Tick)`` every `period` seconds until `close`."""
@@ -67,12 +67,12 @@
         self._tasks.append(task)
         return task
 
-    def subscribe_standstill(self, call):
-        """Call ``call(Standstill)`` after each standstill until `close`."""
-        if not self._on_standstill:
+    def subscribe_stall(self, call):
+        """Call ``call(Stall)`` after each standstill until `close`."""
+        if not self._on_stall:
             self.look()
             self.subscribe(BEAT_S, lambda tick: None)
-        self._on_standstill.append(call)
+        self._on_stall.append(call)
 
     def look(self):
         """Look at the clock; gives the time.
@@ -81,33 +81,33 @@
         looks first: after a standstill that is handled before any tick.
         """
         now = self.now()
-        seconds = timing.measure_standstill(self._seen, now)
+        seconds = timing.measure_stall(self._seen, now)
         self._seen = now
         if seconds:
-            standstill = Standstill(seconds, now)
-            self._standstills.append(standstill)
-            for call in self._on_standstill:
-                call(standstill)
+            stall = Stall(seconds, now)
+            self._stalls.append(stall)
+            for call in self._on_stall:
+                call(stall)
         return now
 
     def ran_since(self, moment):
         """Tell whether this process has run all the time since a moment."""
         self.look()
-        return not self._standstills or self._standstills[-1].now <= moment
+        return not self._stalls or self._stalls[-1].now <= moment
 
     def measure_run(self, since):
         """Give the seconds since a moment for which this process ran."""
         now = self.look()
         lost = sum(
             min(row.seconds, row.now - since)
-            for row in self._standstills
+            for row in self._stalls
             if row.now > since
         )
         return now - since - lost
 
     def close(self):
         """End all subscriptions."""
-        self._on_standstill.clear()
+        self._on_stall.clear()
         for task in self._tasks:
             task.cancel()
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -247,14 +247,14 @@
     def put(self, piece, made):
         """Cache a piece and drop the least recently used ones."""
         if piece not in self.cache:
-            self.note_event('stored', piece)
+            self.record_event('stored', piece)
         self.cache[piece] = made
         self.cache.move_to_end(piece)
         while len(self.cache) > self.options.cache:
             gone, _ = self.cache.popitem(last=False)
-            self.note_event('removed', gone)
+            self.record_event('removed', gone)
 
-    def note_event(self, kind, piece):
+    def record_event(self, kind, piece):
         """Note a cache event; some are lost and leave a gap."""
         self.event_number += 1
         if self.rng.random() < EVENT_LOSS:
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -188,7 +188,7 @@
         """
         lines = b''
         if self.leaving:
-            self._note_said(head)
+            self._record_said(head)
             lines += b'server-leaving: 1\r\n'
         if self.limit is not None:
             if head is not None:
@@ -202,10 +202,10 @@
         if self.rest is None:
             return b''
         if limits.DECIMAL.fullmatch(self.rest):
-            self._note_said(head, float(self.rest))
+            self._record_said(head, float(self.rest))
         return b'retry-after: ' + self.rest.encode('latin-1') + b'\r\n'
 
-    def _note_said(self, head, rest_s=None):
+    def _record_said(self, head, rest_s=None):
         if head is not None:
             name = behaviours.get_id(head)
             self.said.append(Said(time.monotonic(), name, rest_s))
--- a/tests/gateway/test_coldness.py
+++ b/tests/gateway/test_coldness.py
@@ -65,8 +65,8 @@
         plan = view.plan(work, (), now)
         if plan is None or not view.may_send(plan.entry, work, now):
             continue
-        view.note_sent(plan, work, now)
-        view.loads.note_end(plan.entry.name, work.name)
+        view.record_sent(plan, work, now)
+        view.loads.record_end(plan.entry.name, work.name)
         sent[plan.entry.name].append(now)
     return sent
 
@@ -104,8 +104,8 @@
 def test_a_target_counts_as_cold_after_it_came_back():
     view = make_box('box0', {'box0', 'box1'})
     assert view.bars.coldness.find_left('t0', 13.1) == 0.0
-    view.note_unreached('t0', 14.0)
-    view.note_back('t0', 15.0)
+    view.record_unreached('t0', 14.0)
+    view.record_back('t0', 15.0)
     assert view.bars.coldness.find_left('t0', 15.0) == BOUND.seconds
     view.bars.evacuation.put('d', 20.0)
     view.withdraw_evacuation('d', 25.0)
@@ -114,7 +114,7 @@
 
 def test_a_box_without_the_list_of_boxes_sends_nothing_to_cold_targets():
     view = test_view.make_view()
-    view.bars.coldness.note_told('t0', 2.0, 10.0)
+    view.bars.coldness.record_told('t0', 2.0, 10.0)
     assert view.bars.coldness.may_send('t0', coldness.Bound(), 10.0)
     assert not view.bars.coldness.may_send('t0', BOUND, 10.0)
     view.bars.shares.set_members('box', ('box',), 10.0)
--- a/tests/gateway/test_context.py
+++ b/tests/gateway/test_context.py
@@ -185,9 +185,9 @@
 def test_another_box_tells_how_full_a_store_is():
     known = warmth.Warmth()
     known.take('k1', make_news(1, ('z', 320)), 10.0, 10.0)
-    known.note_taken('k1', 2, 9_600)
+    known.record_taken('k1', 2, 9_600)
     assert known.get('k1').taken == 320
-    known.note_taken('k1', 1, 9_600)
+    known.record_taken('k1', 1, 9_600)
     assert known.get('k1').taken == 9_600
     assert not any(plan(known, 10.1).save)
 
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -171,8 +171,8 @@
         box = boxes[number * 60]
         for other in range(60):
             # All that was at the target breaks with it.
-            box.note_lost(b'other %d of %d' % (other, number), name, 0.0)
-        box.note_lost(b'fatal', name, 0.0)
+            box.record_lost(b'other %d of %d' % (other, number), name, 0.0)
+        box.record_lost(b'fatal', name, 0.0)
     for number in range(ROUNDS):
         gossip(boxes, 0.2 * number, rng)
     barred = sum(b'fatal' in box.list_barred(3.0) for box in boxes)
@@ -182,7 +182,7 @@
 def test_a_box_back_from_a_cut_hears_what_it_missed():
     first, cut = endings_module.Endings(), endings_module.Endings()
     for name in ('a', 'b', 'c'):
-        first.note_lost(b'fatal', name, 0.0)
+        first.record_lost(b'fatal', name, 0.0)
     for number in range(50):
         first.tell(0.2 * number)
     for number in range(5):
@@ -206,24 +206,24 @@
 def test_who_is_answered_whole_or_whose_targets_live_is_not_barred():
     endings = endings_module.Endings()
     for name in ('a', 'b', 'c'):
-        endings.note_lost(b'whole', name, 1.0)
-        endings.note_lost(b'cut', name, 1.0)
+        endings.record_lost(b'whole', name, 1.0)
+        endings.record_lost(b'cut', name, 1.0)
     assert set(endings.list_barred(1.6)) == {b'whole', b'cut'}
-    endings.note_served(b'whole', 1.2)
-    endings.note_alive('b', 1.3)
+    endings.record_served(b'whole', 1.2)
+    endings.record_alive('b', 1.3)
     assert endings.list_barred(1.6) == []
     # An older word that comes late brings nothing back.
     for name in ('a', 'b', 'c'):
         life = neighbours.code_target(name)
-        endings.take(neighbours.Word(b'whole', life, 600), 1.5)
-        endings.take(neighbours.Word(b'cut', life, 500), 1.5)
+        endings.take(neighbours.CrashNotice(b'whole', life, 600), 1.5)
+        endings.take(neighbours.CrashNotice(b'cut', life, 500), 1.5)
     assert endings.list_barred(1.6) == []
 
 
 def test_a_word_that_takes_back_is_not_told_for_ever():
     boxes = [endings_module.Endings() for _ in range(BOXES)]
-    boxes[0].note_lost(b'whole', 'a', 0.0)
-    boxes[0].note_served(b'whole', 0.5)
+    boxes[0].record_lost(b'whole', 'a', 0.0)
+    boxes[0].record_served(b'whole', 0.5)
     for number in range(3, 60):
         now = 0.2 * number
         told = [box.tell(now) for box in boxes]
@@ -236,8 +236,8 @@
 
 def test_a_target_that_is_back_under_its_id_has_ended_all_the_same():
     endings = endings_module.Endings()
-    endings.note_lost(b'f', 'a', 1.0)
-    endings.note_alive('a', 3.5)
+    endings.record_lost(b'f', 'a', 1.0)
+    endings.record_alive('a', 3.5)
     assert endings.count(b'f', 4.0) == 1
 
 
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -15,9 +15,9 @@
     ('view', 'count_first', False),
     ('view', 'plan', False),
     ('upstream', 'open', False),
-    ('view', 'note_sent', False),
-    ('view', 'note_first', True),
-    ('metrics', 'note_answer', True),
+    ('view', 'record_sent', False),
+    ('view', 'record_first', True),
+    ('metrics', 'record_answer', True),
     ('exchange', 'send', False),
 )
 # Parts that a box has no single one of.
@@ -52,7 +52,7 @@
             began = hub.clock()
             got = await site.ask(hub, path, headers=PROMPT)
         assert hub.clock() - began < 1.0
-        assert got.status == 500 or not got.whole or method == 'note_answer'
+        assert got.status == 500 or not got.whole or method == 'record_answer'
         (fields,) = [f for event, f in lines if event == 'request_fault']
         assert fields['request']
         assert 'made by the test' in fields['trace']
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -149,7 +149,7 @@
 def test_versions_of_a_target_only_rise():
     targets = fleet.Fleet()
     targets.put(make_entry(m=3))
-    targets.note_version('t', 'm', 2)
+    targets.record_version('t', 'm', 2)
     targets.put(make_entry(m=1))
     assert targets.get_version('t', 'm') == 3
 
--- a/tests/gateway/test_limit_load.py
+++ b/tests/gateway/test_limit_load.py
@@ -92,7 +92,7 @@
         if plan is None or not view.may_send(plan.entry, work, now):
             self.refused.append(now)
             return
-        view.note_sent(plan, work, now)
+        view.record_sent(plan, work, now)
         target = plan.entry.name
         self.arrived[target].append(now)
         if self.told.get((view, target)) and now < UNNAMED_S:
@@ -102,12 +102,12 @@
         self._plan(heard, self._hear, view, plan, work, now, limit)
 
     def _hear(self, now, view, plan, work, asked, limit):
-        view.note_first(plan, work, now)
-        view.loads.note_end(plan.entry.name, work.name)
+        view.record_first(plan, work, now)
+        view.loads.record_end(plan.entry.name, work.name)
         if limit is None:
-            view.bars.limits.note_unnamed(plan.entry.name, asked, now)
+            view.bars.limits.record_unnamed(plan.entry.name, asked, now)
         else:
-            view.bars.limits.note_named(plan.entry.name, limit, asked, now)
+            view.bars.limits.record_named(plan.entry.name, limit, asked, now)
             self.told[view, plan.entry.name] = True
             self._hurry(now, view)
 
@@ -223,7 +223,7 @@
     names = [f'box{number}' for number in range(30)]
     views = {name: make_view(1, names, name) for name in names}
     for view in views.values():
-        view.bars.limits.note_named('t0', 1.0, 20.0, 20.1)
+        view.bars.limits.record_named('t0', 1.0, 20.0, 20.1)
     without = [
         view
         for view in views.values()
@@ -235,7 +235,7 @@
         now = 25.0 + step * 0.1
         for number, view in enumerate(without):
             if view.bars.limits.may_send('t0', now):
-                view.bars.shares.note_sent('t0', now)
+                view.bars.shares.record_sent('t0', now)
                 turns[number] += 1
     assert set(turns) == set(range(26))
     assert max(turns.values()) == 1
--- a/tests/gateway/test_limit_words.py
+++ b/tests/gateway/test_limit_words.py
@@ -7,7 +7,7 @@
 from landingspool.decisions.gateway import shares
 from landingspool import http
 from landingspool.platform import limits as field
-from landingspool.platform import words
+from landingspool.platform import notices
 from tests.gateway import site
 
 # Seconds from a box's start until it may use its permits, with a margin.
@@ -50,7 +50,7 @@
 
 def test_several_lines_of_the_field_are_one_limit():
     rows = [(b'server-limit', b'3'), (b'x', b'1'), (b'server-limit', b'2.5')]
-    assert words.read_head_words(200, rows).limit == field.Named(2.5)
+    assert notices.read_head_notices(200, rows).limit == field.Named(2.5)
 
 
 def test_a_new_life_of_a_target_has_no_limit():
@@ -102,12 +102,12 @@
 def test_a_word_on_its_way_for_long_ends_no_limit():
     """The ages in a digest lack the time for which it was on its way."""
     limits = limits_module.Limits(shares.Shares())
-    limits.note_named('t', 2.0, 9.9, 10.0)
+    limits.record_named('t', 2.0, 9.9, 10.0)
     life = neighbours.code_target('t')
     # Asked at 9.5, told at 9.7, and half a second on its way.
-    limits.take(neighbours.LimitWord(life, 0.0, 200, 100), 'box', 10.2)
+    limits.take(neighbours.LimitNotice(life, 0.0, 200, 100), 'box', 10.2)
     assert limits.find('t').per_s == 2.0
-    limits.take(neighbours.LimitWord(life, 0.0, 200, 100), 'box', 11.3)
+    limits.take(neighbours.LimitNotice(life, 0.0, 200, 100), 'box', 11.3)
     assert limits.find('t') is None
 
 
--- a/tests/gateway/test_lives.py
+++ b/tests/gateway/test_lives.py
@@ -75,13 +75,13 @@
     both, second = test_view.make_view(0), test_view.make_view(0)
     both.put_entry(read(), 1.0)
     plan = both.plan(test_view.make_work(), (), 1.0)
-    both.note_sent(plan, test_view.make_work(), 1.0)
+    both.record_sent(plan, test_view.make_work(), 1.0)
     for view in (both, second):
         view.put_entry(read(born=BORN + 5), 2.0)
     assert both.put_entry(read(state='draining'), 3.0) == fleet.OVER
-    both.note_first(plan, test_view.make_work(), 3.0)
-    both.note_loss(plan.entry.name, 3.0, certain=True)
-    both.fleet.note_version(plan.entry.name, 'm', 9)
+    both.record_first(plan, test_view.make_work(), 3.0)
+    both.record_loss(plan.entry.name, 3.0, certain=True)
+    both.fleet.record_version(plan.entry.name, 'm', 9)
     news = warmth.News(7, 3, False, (warmth.Change('m.1', 'a', 2500),))
     both.warmth.take(plan.entry.name, news, 3.0, 3.0)
     one, other = (
--- a/tests/gateway/test_ordering.py
+++ b/tests/gateway/test_ordering.py
@@ -32,9 +32,9 @@
 
 def test_a_claim_of_another_is_left_until_it_is_old():
     watch = rollouts.Watch(LEASE_S)
-    watch.note(rollouts.Claim('b', 3), 10.0)
+    watch.record(rollouts.Claim('b', 3), 10.0)
     assert not watch.may_claim('a', 10.0 + LEASE_S)
-    watch.note(rollouts.Claim('b', 4), 12.0)
+    watch.record(rollouts.Claim('b', 4), 12.0)
     assert not watch.may_claim('a', 12.0 + LEASE_S)
     assert watch.may_claim('a', 12.0 + LEASE_S + rollouts.TAKEOVER_S)
     assert watch.may_claim('b', 12.0)
@@ -42,8 +42,8 @@
 
 def test_an_older_claim_read_late_changes_nothing():
     watch = rollouts.Watch(LEASE_S)
-    watch.note(rollouts.Claim('b', 5), 10.0)
-    watch.note(rollouts.Claim('a', 4), 11.0)
+    watch.record(rollouts.Claim('b', 5), 10.0)
+    watch.record(rollouts.Claim('a', 4), 11.0)
     assert not watch.may_claim('a', 11.0)
 
 
@@ -69,7 +69,7 @@
 def test_unanswered_orders_are_given_again_only_later():
     rollout = rollouts.Rollout()
     (order,) = rollout.plan('m', 2, {'a': 1}, 1, 0.0)
-    rollout.note(order, 0.0, rollouts.UNANSWERED)
+    rollout.record(order, 0.0, rollouts.UNANSWERED)
     assert not rollout.plan('m', 2, {'a': 1}, 1, 1.0)
     assert rollout.plan('m', 2, {'a': 1}, 1, rollouts.UNANSWERED_S)
 
--- a/tests/gateway/test_reach.py
+++ b/tests/gateway/test_reach.py
@@ -32,13 +32,13 @@
     tried = {}
     plan = hub.view.plan
 
-    def note(*args):
+    def record(*args):
         made = plan(*args)
         name = made.entry.name
         tried[name] = tried.get(name, 0) + 1
         return made
 
-    hub.view.plan = note
+    hub.view.plan = record
     for _ in range(asks):
         assert (await site.ask(hub, '/safe/a')).status == 200
     hub.view.plan = plan
@@ -54,7 +54,7 @@
         await deployment.plain[0].close()
         for name in ('p0', 'p1'):
             for _ in range(reach.TOLD_AFTER):
-                first.prober.note_failed(name, 'told by the test')
+                first.prober.record_failed(name, 'told by the test')
         # It finds one of them dark, and the other one well.
         await site.wait_until(
             lambda: second.view.reach.list_failed() == ['p0'], 2.0
@@ -68,7 +68,7 @@
     known = reach.Reach()
     now, pauses = 10.0, []
     for _ in range(6):
-        known.note_failed('t', now)
+        known.record_failed('t', now)
         before = now
         while not known.list_due(now):
             now += 0.1
@@ -81,7 +81,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         for name in ('p0', 'p1'):
-            hub.prober.note_failed(name, 'told by the test')
+            hub.prober.record_failed(name, 'told by the test')
         assert (await site.ask(hub, '/safe/a')).status == 200
 
     site.run(check)
@@ -100,7 +100,7 @@
         await gone.close()
         for _ in range(reach.TOLD_AFTER):
             for hub in hubs:
-                hub.prober.note_failed('p0', 'told by the test')
+                hub.prober.record_failed('p0', 'told by the test')
         await asyncio.sleep(1.5)
         counts = [count_probes(hub) for hub in hubs]
         await asyncio.sleep(3.0)
--- a/tests/gateway/test_rest_words.py
+++ b/tests/gateway/test_rest_words.py
@@ -6,7 +6,7 @@
 from landingspool.decisions.gateway import rests as rests_module
 from landingspool import http
 from landingspool.platform import limits as field
-from landingspool.platform import words
+from landingspool.platform import notices
 from tests.gateway import site
 
 # Seconds of rest, with the part by which a rest may be prolonged.
@@ -24,10 +24,10 @@
 
 def test_no_shorter_rest_and_no_success_ends_a_longer_one():
     rests = rests_module.Rests(random.Random(1))
-    rests.note_asked('t', 4.0, 10.0)
-    rests.note_asked('t', 0.5, 10.1)
-    rests.note_answered('t', 9.9)
-    rests.note_answered('t', 10.6)
+    rests.record_asked('t', 4.0, 10.0)
+    rests.record_asked('t', 0.5, 10.1)
+    rests.record_answered('t', 9.9)
+    rests.record_answered('t', 10.6)
     assert not rests.may_send('t', 13.9)
     assert rests.may_send('t', 14.5)
 
@@ -50,10 +50,13 @@
 
 def test_the_longest_of_several_lines_holds_and_no_figure_is_endless():
     rows = [(b'retry-after', b'1'), (b'retry-after', b'2.5, soon')]
-    assert words.read_head_words(503, rows).rest == words.Rest(2.5)
+    assert notices.read_head_notices(503, rows).rest == notices.Rest(2.5)
     rows = [(b'retry-after', b'9' * 300)]
-    assert words.read_head_words(503, rows).rest.seconds == words.MOST_REST_S
-    assert words.read_head_words(429, rows).rest == field.Unnamed()
+    assert (
+        notices.read_head_notices(503, rows).rest.seconds
+        == notices.MOST_REST_S
+    )
+    assert notices.read_head_notices(429, rows).rest == field.Unnamed()
 
 
 def test_it_is_no_failure_of_the_target_whether_it_ran_or_not():
--- a/tests/gateway/test_shares.py
+++ b/tests/gateway/test_shares.py
@@ -32,7 +32,7 @@
         while now < end:
             for name, known in self.shares.items():
                 if known.may_send('t', self.quota, now):
-                    known.note_sent('t', now)
+                    known.record_sent('t', now)
                     self.sent.append(now)
             now += STEP_S
 
--- a/tests/gateway/test_sweeper.py
+++ b/tests/gateway/test_sweeper.py
@@ -49,11 +49,11 @@
 
 def test_a_target_that_comes_back_on_old_weights_begins_the_wait_anew():
     known = leftovers.Leftovers()
-    assert known.note('m', 2, 10.0) is None
-    assert known.note('m', 1, 12.0) is None
-    assert known.note('m', 2, 13.0) is None
-    assert known.note('m', 2, 13.0 + leftovers.FREE_AFTER_S - 0.1) is None
-    assert known.note('m', 2, 13.0 + leftovers.FREE_AFTER_S) == 2
+    assert known.record('m', 2, 10.0) is None
+    assert known.record('m', 1, 12.0) is None
+    assert known.record('m', 2, 13.0) is None
+    assert known.record('m', 2, 13.0 + leftovers.FREE_AFTER_S - 0.1) is None
+    assert known.record('m', 2, 13.0 + leftovers.FREE_AFTER_S) == 2
 
 
 def test_a_store_in_another_life_frees_nothing(monkeypatch):
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -46,8 +46,8 @@
     for number in range(count):
         work = make_work(f'q{number}')
         plan = view.plan(work, (), 10.0)
-        view.note_sent(plan, work, 10.0)
-        view.note_first(plan, work, 10.1)
+        view.record_sent(plan, work, 10.0)
+        view.record_first(plan, work, 10.1)
 
 
 def pick(view, now=10.0, **fields):
@@ -66,7 +66,7 @@
     home = pick(view)
     for number in range(4):
         plan = view.plan(make_work(f'q{number}'), (), 10.0)
-        view.note_sent(plan, make_work(f'q{number}'), 10.0)
+        view.record_sent(plan, make_work(f'q{number}'), 10.0)
     sent = set(view.loads.list_told())
     assert home in sent
     assert len(sent) > 1
@@ -76,7 +76,7 @@
     view = make_view()
     home = pick(view)
     plan = view.plan(make_work('first'), (), 10.0)
-    view.note_sent(plan, make_work('first'), 10.0)
+    view.record_sent(plan, make_work('first'), 10.0)
     late = 10.0 + view_module.ENGINE_PATIENCE_S + 0.1
     assert all(pick(view, late, name=f'n{i}') != home for i in range(20))
 
@@ -84,7 +84,7 @@
 def test_a_target_that_can_not_be_reached_is_avoided_for_a_time():
     view = make_view()
     home = pick(view)
-    view.note_loss(home, 10.0, certain=True)
+    view.record_loss(home, 10.0, certain=True)
     # One request in thirty goes to a doubtful target, to learn of it.
     assert home not in {pick(view, 10.1) for _ in range(200)}
     assert home in {pick(view, 30.0) for _ in range(200)}
@@ -92,7 +92,7 @@
 
 def test_the_only_target_is_tried_though_it_failed():
     view = make_view(1)
-    view.note_loss('t0', 10.0, certain=True)
+    view.record_loss('t0', 10.0, certain=True)
     assert pick(view, 10.1) == 't0'
 
 
@@ -153,7 +153,7 @@
             plan = view._make_plan(
                 choice.Chosen(entry, 0.0, 0, 2), work, 1.0, {}
             )
-            view.note_answer(plan, 0.01, True)
+            view.record_answer(plan, 0.01, True)
     plan = view.plan(work, (), 99.0)
     assert plan.expected_s < 0.1
 
@@ -226,9 +226,9 @@
     for number in range(count):
         work = make_work(f'late{number}')
         plan = view.plan(work, (), 10.0)
-        view.note_sent(plan, work, 10.0)
-        view.note_first(plan, work, 10.0 + seconds)
-        view.loads.note_end(plan.entry.name, work.name)
+        view.record_sent(plan, work, 10.0)
+        view.record_first(plan, work, 10.0 + seconds)
+        view.loads.record_end(plan.entry.name, work.name)
 
 
 def test_where_answers_come_late_requests_are_turned_away():
@@ -252,20 +252,20 @@
     for entry in list(view.fleet.entries.values()):
         view.fleet.put(entry._replace(slots=64))
     for read in (30_000, 9_000):
-        view.partition.note(read, 10.0)
-    view.partition.note(9_000 // 4, 10.0)
+        view.partition.record(read, 10.0)
+    view.partition.record(9_000 // 4, 10.0)
     entries = view.fleet.list_service('s')
     names = view.partition.pick(600, entries)
     assert 0 < len(names) < 5
     short = prompts.Prompt('m', 600, 5, (prompts.Part('own', 600),))
     for name in names:
-        view.note_loss(name, 10.0, certain=True)
+        view.record_loss(name, 10.0, certain=True)
     chosen = [pick(view, 10.1, prompt=short) for _ in range(50)]
     assert None not in chosen
     assert sum(name in names for name in chosen) < 10
     for name in names:
         plan = view.plan(make_work('first'), (), 10.0)
         entry = view.fleet.entries[name]
-        view.note_sent(plan._replace(entry=entry), make_work(name), 10.0)
+        view.record_sent(plan._replace(entry=entry), make_work(name), 10.0)
     late = 10.0 + view_module.ENGINE_PATIENCE_S + 0.1
     assert pick(view, late, prompt=short) not in {None, *names}
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -54,7 +54,7 @@
             continue
         called = getattr(node.func, 'attr', getattr(node.func, 'id', ''))
         first = node.args[0]
-        if called in ('record', '_note', 'Note'):
+        if called in ('record', '_record', 'Note'):
             if isinstance(first, ast.Constant):
                 yield first.value
 
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -47,8 +47,8 @@
     sink.write(Message('after\n', 'INFO'))
     rest = os.read(read_end, 1 << 20)
     rows = (taken + rest).decode().split('\n')
-    note = [json.loads(r) for r in rows if r.startswith('{')]
-    assert note[0]['full'] == lost
+    record = [json.loads(r) for r in rows if r.startswith('{')]
+    assert record[0]['full'] == lost
     assert rows[-2] == 'after'
     # No line is mingled with another one.
     assert {len(row) for row in rows if row.startswith('x')} == {4095}
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -40,7 +40,7 @@
 def test_least_recently_used_goes_first():
     shelf = retention.Shelf('lru', 3)
     fill(shelf, 'a', 3)
-    shelf.note_use('a0', 5.0)
+    shelf.record_use('a0', 5.0)
     _, gone = shelf.add(make_kept('new', used=6.0), SHARES, 6.0)
     assert [kept.key for kept in gone] == ['a1']
 
@@ -57,7 +57,7 @@
 def test_chance_of_return_follows_the_gaps_seen():
     gaps = retention.Gaps()
     for _ in range(50):
-        gaps.note_return(100.0)
+        gaps.record_return(100.0)
     assert gaps.estimate_return(90.0) > 10 * gaps.estimate_return(2000.0)
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -74,7 +74,7 @@
     for piece in work.pieces:
         key = identity.add_version(piece, 'v0')
         block = records.Block(key, 's', 'w', 10, 'x')
-        owned.directory.note_stored('a', block, identity.PIECE_TOKENS)
+        owned.directory.record_stored('a', block, identity.PIECE_TOKENS)
     assert get_grant(owned.ask(work, examples.SHARE, 0.0)).fetch == ()
 
 
@@ -103,7 +103,7 @@
     owned.ask(examples.make_work('r1'), examples.SHARE, 0.0)
     owned.report(examples.make_report('t1'), 6.0)
     _, notes = owned.tick(6.0)
-    assert [note.event for note in notes] == ['lapsed']
+    assert [record.event for record in notes] == ['lapsed']
     assert owned.flights == {}
 
 
@@ -172,7 +172,7 @@
     for piece in work.pieces:
         key = identity.add_version(piece, 'v1')
         block = records.Block(key, 's', 'w', 10, 'x')
-        owned.directory.note_stored('a', block, identity.PIECE_TOKENS)
+        owned.directory.record_stored('a', block, identity.PIECE_TOKENS)
     fetches = []
     for number in range(8):
         again = work._replace(request=f'r{number}')
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -25,7 +25,7 @@
 
 def test_work_goes_where_its_first_token_comes_earlier():
     owned = make_busy()
-    owned.note_room('south', IDLE, 0.0)
+    owned.record_room('south', IDLE, 0.0)
     (message,) = ask(owned, examples.make_work('r1'))
     assert message == messages.Spill('r1', 'south')
 
@@ -34,15 +34,15 @@
     owned = make_busy(backlog=1500)
     work = examples.make_work('r1', pieces=8)
     keys = placement.name_pieces(work.pieces, 'v1')
-    owned.directory.note_cached('t1', keys)
-    owned.note_room('south', IDLE, 0.0)
+    owned.directory.record_cached('t1', keys)
+    owned.record_room('south', IDLE, 0.0)
     (message,) = ask(owned, work)
     assert isinstance(message, messages.Grant)
 
 
 def test_what_was_sent_is_added_to_the_summary():
     owned = make_busy(backlog=9000)
-    owned.note_room('south', IDLE, 0.0)
+    owned.record_room('south', IDLE, 0.0)
     kinds = []
     for index in range(4):
         (message,) = ask(owned, examples.make_work(f'r{index}'))
@@ -53,20 +53,20 @@
 
 def test_old_summary_counts_for_nothing():
     owned = make_busy()
-    owned.note_room('south', IDLE, -spill.SUMMARY_OLD_S - 1)
+    owned.record_room('south', IDLE, -spill.SUMMARY_OLD_S - 1)
     (message,) = ask(owned, examples.make_work('r1'))
     assert isinstance(message, messages.Grant)
 
 
 def test_work_is_sent_on_once_only():
     owned = make_busy()
-    owned.note_room('south', IDLE, 0.0)
+    owned.record_room('south', IDLE, 0.0)
     (message,) = ask(owned, examples.make_work('r1', hops=1))
     assert isinstance(message, messages.Grant)
 
 
 def test_domain_without_a_target_sends_all_on():
     owned = examples.make_scheduler(targets=(), now=-5.0)
-    owned.note_room('south', IDLE, 0.0)
+    owned.record_room('south', IDLE, 0.0)
     (message,) = ask(owned, examples.make_work('r1'))
     assert message == messages.Spill('r1', 'south')
--- a/tests/virtual/network.py
+++ b/tests/virtual/network.py
@@ -82,7 +82,7 @@
         request = http.Request(method, bare, dict(pairs), named, body)
         self.exchange = Exchange(self, request)
         self.world.exchanges.append(self.exchange)
-        self.world.note_request(self.exchange)
+        self.world.record_request(self.exchange)
         head = await self._next()
         self.status, self.headers = head
 
@@ -157,7 +157,7 @@
             raise OSError('the peer has gone')
         text = value if isinstance(value, str) else json.dumps(value)
         self.index += 1
-        self.world.note_part(self, value)
+        self.world.record_part(self, value)
         self._post(b'data: ' + text.encode() + b'\n\n')
         await asyncio.sleep(0)
 
@@ -165,7 +165,7 @@
         """End the answer."""
         if self.ended:
             return
-        self.world.note_answer(self)
+        self.world.record_answer(self)
         self._post(None)
         self.ended = True
 
@@ -216,7 +216,7 @@
 
     def send(self, box, message):
         """Send a message, as it would be on the wire."""
-        self.world.note_message(self.owner, box, message)
+        self.world.record_message(self.owner, box, message)
 
     def take(self, sender, message):
         """Take a message that has arrived, checked as from the wire."""
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -273,7 +273,7 @@
         if process is not None:
             process.loop.call_at(self.now + LATENCY_S, call)
 
-    def note_request(self, exchange):
+    def record_request(self, exchange):
         """Carry a request to its server."""
         step = steps.name_request(exchange.request)
         if step == 'dispatch':
@@ -295,7 +295,7 @@
         port = self._ports[exchange.call.address][1]
         process.loop.call_at(self.now + delay, self._serve, port, exchange)
 
-    def note_part(self, exchange, value):
+    def record_part(self, exchange, value):
         """Note a part of a stream of a target."""
         if exchange.request.path != '/v1/completions':
             return
@@ -318,7 +318,7 @@
         once = process and isinstance(process.thing, plain.Plain)
         return ' once' if once else ''
 
-    def note_answer(self, exchange):
+    def record_answer(self, exchange):
         """Note the end of an answer to a caller."""
         if exchange.client != 'callers':
             return
@@ -329,7 +329,7 @@
             if self._reach(step) == 'drop':
                 exchange.reset('cut')
 
-    def note_message(self, sender, box, message):
+    def record_message(self, sender, box, message):
         """Carry a message between boxes."""
         step = steps.MESSAGES.get(type(message), '')
         what = self._reach(steps.Step(step, sender, box, message))
