--- a/landingspool/decisions/__init__.py
+++ b/landingspool/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that decides; no input or output is reached from here."""
+"""All decision logic; nothing in this package does input or output."""
--- a/landingspool/decisions/blocks.py
+++ b/landingspool/decisions/blocks.py
@@ -1,10 +1,10 @@
-"""Kept context: how a block is written, sealed, read, checked and freed.
+"""States of a block of cached context, and the check after reading one.
 
-No reader ever uses a block that is freed or half written, and that does
-not lean on leases, since a reader that holds one may be frozen.  A write
-has an identity that is never used again, its seal comes last, and what a
-reader received is checked against the offer that it was promised before
-the engine may use it.  Where the check fails the context is computed again.
+No reader ever uses a block that has been freed or is partly written.  This
+does not depend on leases, because a reader that holds one may be suspended.
+A write has an identifier that is never reused, and it is sealed last.  What
+a reader received is checked against the offered block before the engine may
+use it.  If the check fails, the context is recomputed.
 """
 
 import enum
@@ -12,19 +12,19 @@
 
 
 class Receipt(typing.NamedTuple):
-    """What a target says it read from a store.
+    """What a target reports to have read from a store.
 
     Attributes
     ----------
     key, write : str
-        What the store said that it sent.
+        Key and write that the store reported to have sent.
     length : int
-        Bytes that arrived.
+        Number of bytes received.
     checksum : str
-        Digest that the target computed over those bytes.
+        Digest of those bytes, computed by the target.
     sealed : bool
-        Whether the store still had the write sealed at the end of the
-        read, not only at its beginning.
+        Whether the write was still sealed at the end of the read, and not
+        only at its start.
     """
 
     key: str
@@ -35,7 +35,7 @@
 
 
 def check_receipt(block, receipt):
-    """Give why a receipt does not match the block offered, or ``''``.
+    """Return why a receipt does not match the offered block, or ``''``.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
     Returns
     -------
     str
-        Name of the first check that failed, empty where all hold.
+        Name of the first check that failed; empty if all passed.
     """
     for name, holds in CHECKS:
         if not holds(block, receipt):
@@ -63,7 +63,7 @@
 
 
 class State(enum.Enum):
-    """The life of one write."""
+    """State of one write."""
 
     WRITING = 'writing'
     SEALED = 'sealed'
@@ -72,9 +72,9 @@
     FREED = 'freed'
 
 
-# A block is offered only once its seal was confirmed, and freed only after
-# its offer was withdrawn: a reader then gets a mismatch at the worst.
-TABLE = {
+# A block is offered only after its seal was confirmed, and freed only after
+# its offer was withdrawn.  In the worst case a reader gets a mismatch.
+TRANSITIONS = {
     (State.WRITING, 'seal'): State.SEALED,
     (State.WRITING, 'fail'): State.WITHDRAWN,
     (State.SEALED, 'offer'): State.OFFERED,
@@ -86,11 +86,11 @@
 
 
 def advance(state, signal):
-    """Give the next state of a write, or None where it may not be.
+    """Return the next state of a write, or None if it is not allowed.
 
     >>> advance(State.WRITING, 'offer') is None
     True
     >>> advance(State.WRITING, 'seal')
     <State.SEALED: 'sealed'>
     """
-    return TABLE.get((state, signal))
+    return TRANSITIONS.get((state, signal))
--- a/landingspool/decisions/claims.py
+++ b/landingspool/decisions/claims.py
@@ -1,10 +1,10 @@
-"""At most once: claims on request keys as a fold over the log.
+"""At-most-once execution: claims on idempotency keys, folded from the log.
 
-A request that must not be repeated and has a key of its caller's is
-claimed in the log before it is dispatched.  The first claim in log order
-runs; a box dispatches only after it has read its own claim back as the
-first.  So a lost answer of the log can never lead to a second run: whoever
-did not read its claim back has not dispatched.
+A request that must not be repeated and has an idempotency key is claimed in
+the log before it is dispatched.  The first claim in log order wins, and a
+box dispatches only after it has read its own claim back as the first.  A
+lost answer of the log therefore never leads to a second execution: a box
+that has not read its claim back has not dispatched.
 """
 
 import collections
@@ -28,15 +28,15 @@
     Attributes
     ----------
     key : str
-        Hash over workspace and the caller's key.
+        Hash over the workspace and the caller's key.
     claim : str
-        Identity of this claim; never used again.
+        Identifier of this claim; never reused.
     box : str
-        The box that claims, with its incarnation.
+        The claiming box, with its incarnation.
     minted : float
-        The time inside the caller's key, in wall-clock seconds.  It is the
-        same in each retry, and a box whose clock is wrong finds the keys
-        of all others too old and claims nothing.
+        The time contained in the caller's key, in wall-clock seconds.  It
+        is the same in each retry.  A box whose clock is wrong therefore
+        considers the keys of all callers too old and claims nothing.
     action : str
         ``claim``, or ``release`` for a claim that was never dispatched.
     """
@@ -49,7 +49,7 @@
 
 
 class Holder(typing.NamedTuple):
-    """Who holds a key: the first claim in log order."""
+    """The claim that holds a key: the first in log order."""
 
     claim: str
     box: str
@@ -58,30 +58,30 @@
 
 
 class Ledger:
-    """The claims of the window, folded in log order.
+    """The claims within a time window, folded in log order.
 
     Parameters
     ----------
     window : float
-        Seconds for which claims are kept; a claim that is older when it
-        is read is refused by every reader alike.
+        Seconds for which claims are remembered.  A claim that is older
+        when it is read is refused by every reader.
     """
 
     def __init__(self, window):
         self.window = window
         self.offset = -1
         self._holders = {}
-        self._order = collections.deque()
+        self._by_age = collections.deque()
         self._newest = 0.0
 
     def __len__(self):
         return len(self._holders)
 
     def fold(self, offset, data):
-        """Fold one record; returns a list of (Claim, outcome).
+        """Apply one record and return a list of (Claim, outcome).
 
-        A batch is one record.  What is not a batch of claims is passed
-        over, the same way by all readers.
+        A record is a batch of claims.  Any other record is ignored by all
+        readers.
         """
         if offset <= self.offset:
             return []
@@ -95,7 +95,7 @@
         return results
 
     def find(self, key):
-        """Give the Holder of a key, or None."""
+        """Return the Holder of a key, or None."""
         return self._holders.get(key)
 
     def _apply(self, claim, offset):
@@ -109,7 +109,7 @@
         if holder is None:
             held = Holder(claim.claim, claim.box, claim.minted, offset)
             self._holders[claim.key] = held
-            self._order.append((claim.minted, claim.key, claim.claim))
+            self._by_age.append((claim.minted, claim.key, claim.claim))
             return WON
         return WON if holder.claim == claim.claim else LOST
 
@@ -117,20 +117,20 @@
         holder = self._holders.get(claim.key)
         if holder is None or holder.claim != claim.claim:
             return SPENT
-        # Only its own box releases a claim, and only one that it will
-        # never dispatch, so the key is free for the next claim.
+        # A claim is released only by its own box, and only if that box
+        # will never dispatch it, so the key is free for the next claim.
         del self._holders[claim.key]
         return WON
 
     def _forget(self):
-        # Claims are forgotten by the times inside the log and not by a
-        # local clock, so that all readers forget at the same record.  The
-        # double window keeps a claim for longer than any retry is taken.
-        while self._order:
-            minted, key, claim = self._order[0]
+        # Claims expire by the times in the log and not by a local clock, so
+        # that all readers drop a claim at the same record.  Twice the
+        # window is longer than any retry of the claim is accepted.
+        while self._by_age:
+            minted, key, claim = self._by_age[0]
             if minted >= self._newest - 2 * self.window:
                 return
-            self._order.popleft()
+            self._by_age.popleft()
             holder = self._holders.get(key)
             if holder is not None and holder.claim == claim:
                 del self._holders[key]
@@ -145,11 +145,11 @@
 
 
 def check_age(minted, now, window):
-    """Tell whether a caller's key is young enough to be claimed.
+    """Return whether a caller's key is young enough to be claimed.
 
-    A key that names the time at which it was made may be claimed for half
-    a window: its first claim, made in that time, is then still known to
-    every reader when the last retry comes.
+    A key contains the time at which it was made and may be claimed for half
+    a window.  Its first claim falls into that time and is therefore still
+    known to every reader when the last retry arrives.
 
     >>> check_age(100.0, 120.0, 60.0)
     True
--- a/landingspool/decisions/configuration.py
+++ b/landingspool/decisions/configuration.py
@@ -1,10 +1,10 @@
-"""The operators' table as a fold over the log.
+"""The operators' configuration table, built as a fold over the log.
 
-All readers fold the same records in the same order and so agree without
-talking: a publish is accepted exactly if each row's base revision still
-holds at its offset.  The first in log order wins, and the other operator
-gets a conflict with the row that won.  A second record of an edit id is
-ignored, so that an append which was tried again does no harm.
+All readers apply the same records in the same order, so they agree without
+exchanging messages.  A publish is accepted if and only if the base revision
+of each of its rows is still current at its offset.  The first in log order
+wins; the other operator gets a conflict with the row that won.  A second
+record with the same edit id is ignored, so an append can safely be retried.
 """
 
 import math
@@ -17,7 +17,7 @@
 STREAM = 'configuration'
 MAX_LIMIT = 1_000_000
 MAX_WEIGHT = 1_000_000.0
-REMEMBERED_EDITS = 1024
+MAX_REMEMBERED_EDITS = 1024
 SNAPSHOT_PREFIX = b'{"snapshot"'
 
 ACCEPTED = 'accepted'
@@ -27,7 +27,7 @@
 
 
 class Publish(typing.NamedTuple):
-    """One publish: all of its rows or none.
+    """One publish; either all of its rows are applied or none.
 
     `bases` holds for each row, then for each removed name, the revision
     that the edit was based on (0 for a row that is new).
@@ -52,7 +52,7 @@
 
 
 class Result(typing.NamedTuple):
-    """What became of one record: the same in every reader."""
+    """Outcome of one record; the same for every reader."""
 
     offset: int
     edit: str
@@ -62,9 +62,9 @@
 
 
 class Snapshot(typing.NamedTuple):
-    """The whole table as one record, for readers that start late.
+    """The complete table as one record, for readers that start late.
 
-    `applied` is the offset up to which the records are folded into it.
+    `applied` is the offset of the last record that it includes.
     """
 
     applied: int
@@ -79,14 +79,14 @@
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """The record in the log: one publish or one snapshot."""
+    """A record of the log: one publish or one snapshot."""
 
     publish: Publish | None = None
     snapshot: Snapshot | None = None
 
 
 def check_row(row):
-    """List what is wrong with a row.
+    """List the problems of a row.
 
     >>> good = records.Row('a', 1.0, 0.5, 4, 0, '0' * 64)
     >>> check_row(good)
@@ -124,13 +124,13 @@
 
 
 def check_publish(table, publish):
-    """List what is wrong with a publish against the table it meets."""
+    """List the problems of a publish that is applied to a table."""
     problems = []
     for row in publish.rows:
         problems += check_row(row)
     names = [row.workspace for row in publish.rows] + list(publish.removed)
     if len(set(names)) != len(names):
-        text = 'a workspace is named twice'
+        text = 'a workspace occurs more than once'
         problems.append(records.Problem('-', INVALID, text))
     if len(publish.bases) != len(names):
         text = 'expected one base revision for each row'
@@ -147,8 +147,8 @@
     return tuple(problems)
 
 
-def find_conflicts(table, publish):
-    """List the current rows that were changed since the edit began."""
+def list_conflicts(table, publish):
+    """List the rows that have changed since the edit was started."""
     names = [row.workspace for row in publish.rows] + list(publish.removed)
     conflicts = []
     for name, base in zip(names, publish.bases):
@@ -160,9 +160,9 @@
 
 
 def apply_rows(rows, publish, offset):
-    """Give the rows after a publish at `offset`.
+    """Return the rows after a publish at `offset`.
 
-    A revision is one more than the offset, since 0 stands for no row.
+    A revision is one more than the offset, because 0 means no row.
     """
     after = dict(rows)
     for row in publish.rows:
@@ -173,15 +173,15 @@
 
 
 def fold(table, offset, data):
-    """Fold one record of the log into the table.
+    """Apply one record of the log to the table.
 
     Parameters
     ----------
     table : Table
     offset : int
-        Offset of the record; one that is not after the table's is ignored.
+        Offset of the record; ignored unless it is after the table's.
     data : bytes
-        The record as JSON.
+        The record, encoded as JSON.
 
     Returns
     -------
@@ -189,28 +189,28 @@
     """
     if offset <= table.offset:
         return table, Result(offset, '', DUPLICATE)
-    moved = table._replace(offset=offset)
+    advanced = table._replace(offset=offset)
     try:
         entry = msgspec.json.decode(data, type=Entry)
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
         problem = records.Problem('-', INVALID, str(error))
-        return moved, Result(offset, '', INVALID, (), (problem,))
+        return advanced, Result(offset, '', INVALID, (), (problem,))
     if entry.publish is None:
-        # A snapshot changes nothing for a reader that folds every record;
-        # taking it would revert the publishes since it was made.
-        return moved, Result(offset, '', DUPLICATE)
-    return fold_publish(moved, entry.publish)
+        # A reader that applies every record ignores snapshots: loading one
+        # would revert the publishes that were made after it.
+        return advanced, Result(offset, '', DUPLICATE)
+    return fold_publish(advanced, entry.publish)
 
 
 def fold_publish(table, publish):
-    """Fold a publish at the table's own offset."""
+    """Apply a publish at the table's own offset."""
     offset = table.offset
     if find_edit(table, publish.edit) is not None:
         return table, Result(offset, publish.edit, DUPLICATE)
     problems = check_publish(table, publish)
-    conflicts = () if problems else find_conflicts(table, publish)
+    conflicts = () if problems else list_conflicts(table, publish)
     outcome = INVALID if problems else CONFLICT if conflicts else ACCEPTED
-    edits = (*table.edits, (publish.edit, outcome))[-REMEMBERED_EDITS:]
+    edits = (*table.edits, (publish.edit, outcome))[-MAX_REMEMBERED_EDITS:]
     after = table._replace(edits=edits)
     if outcome == ACCEPTED:
         rows = apply_rows(table.rows, publish, offset)
@@ -221,24 +221,24 @@
 
 
 def restore(first, entries):
-    """Build the table from what the log still holds.
+    """Build the table from the records that the log still retains.
 
     Parameters
     ----------
     first : int
         The first offset that the log retains.
     entries : sequence of (int, bytes)
-        Its records in offset order.
+        The retained records with their offsets, in offset order.
 
     Returns
     -------
     tuple of (Table or None, list of Result)
-        None when records are missing and no snapshot covers them: a box
-        without the whole configuration must not serve.
+        The table is None if records are missing and no snapshot covers
+        them: a box without the complete configuration must not serve.
     """
     table = Table()
     if first > 0:
-        table = find_snapshot(first, entries)
+        table = load_newest_snapshot(first, entries)
     if table is None:
         return None, []
     results = []
@@ -248,8 +248,8 @@
     return table, results
 
 
-def find_snapshot(first, entries):
-    """Give the table of the newest snapshot that leaves no gap, or None."""
+def load_newest_snapshot(first, entries):
+    """Return the table of the newest snapshot without a gap, or None."""
     for _, data in reversed(entries):
         snapshot = read_snapshot(data)
         if snapshot is not None and snapshot.applied >= first - 1:
@@ -258,7 +258,7 @@
 
 
 def read_snapshot(data):
-    """Give the snapshot that a record holds, or None."""
+    """Return the snapshot that a record contains, or None."""
     if not data.startswith(SNAPSHOT_PREFIX):
         return None
     try:
@@ -268,7 +268,7 @@
 
 
 def load_snapshot(snapshot):
-    """Give the table that a snapshot stands for."""
+    """Return the table that a snapshot describes."""
     table = Table(
         offset=snapshot.applied,
         rows={row.workspace: row for row in snapshot.rows},
@@ -279,13 +279,13 @@
 
 
 def index_keys(table):
-    """Give the table with its index from key hash to workspace."""
+    """Return the table with an index from key hash to workspace."""
     by_key = {row.key_hash: name for name, row in table.rows.items()}
     return table._replace(by_key=by_key)
 
 
 def find_edit(table, edit):
-    """Give the outcome of an edit id, or None if it was not seen."""
+    """Return the outcome of an edit id, or None if it is unknown."""
     for seen, outcome in reversed(table.edits):
         if seen == edit:
             return outcome
@@ -293,7 +293,7 @@
 
 
 def take_snapshot(table):
-    """Give the snapshot of a table; every box would write the same."""
+    """Return the snapshot of a table; it is the same on every box."""
     rows = tuple(table.rows[name] for name in sorted(table.rows))
     versions = tuple(sorted(table.versions.items()))
     return Snapshot(table.offset, rows, table.edits, versions)
--- a/landingspool/decisions/directory.py
+++ b/landingspool/decisions/directory.py
@@ -1,21 +1,21 @@
-"""Where context is: in the targets' caches and in the stores.
+"""Directory of cached context in the targets' caches and in the stores.
 
-Keys are names of pieces under a weight version, for caches and stores
-alike.  The engines' cache events come late and with gaps, so what is said of a
-cache here is a hint that routing weighs and nothing else: a wrong hint
-costs time, never an answer.  What is said of a store names the write, so
+A key names a piece under a weight version, both for caches and for stores.
+The engines' cache events arrive late and with gaps, so an entry for a cache
+is only a hint for routing: a wrong hint costs time but never leads to a
+wrong answer.  An entry for a store contains the identifier of the write, so
 that a read of it can be checked.
 """
 
 import collections
 import typing
 
-CACHED_KEYS = 4096
-STORED_KEYS = 65536
+MAX_CACHED_KEYS = 4096
+MAX_STORED_KEYS = 65536
 
 
 class Stored(typing.NamedTuple):
-    """A sealed block on offer, with its tokens and its workspace."""
+    """An offered block, with its number of tokens and its workspace."""
 
     block: tuple
     tokens: int
@@ -23,38 +23,40 @@
 
 
 class Directory:
-    """The hints of one scheduler, bounded by the least recently used."""
+    """The entries of one scheduler, bounded by LRU eviction."""
 
-    def __init__(self, cached_keys=CACHED_KEYS, stored_keys=STORED_KEYS):
-        self._most_cached = cached_keys
-        self._most_stored = stored_keys
+    def __init__(
+        self, cached_keys=MAX_CACHED_KEYS, stored_keys=MAX_STORED_KEYS
+    ):
+        self._max_cached_keys = cached_keys
+        self._max_stored_keys = stored_keys
         self._cached = collections.defaultdict(collections.OrderedDict)
         self._stored = collections.OrderedDict()
 
     def record_cached(self, target, keys):
-        """Note that a target has just worked on these pieces."""
+        """Record that a target has just processed these pieces."""
         known = self._cached[target]
         for key in keys:
             known[key] = True
             known.move_to_end(key)
-        while len(known) > self._most_cached:
+        while len(known) > self._max_cached_keys:
             known.popitem(last=False)
 
     def record_evicted(self, target, keys):
-        """Note that a target said it has dropped these pieces."""
+        """Record that a target has reported the eviction of these pieces."""
         for key in keys:
             self._cached[target].pop(key, None)
 
     def record_gap(self, target):
-        """Note that cache events of a target were lost: doubt them all."""
+        """Drop all entries of a target whose cache events were lost."""
         self._cached.pop(target, None)
 
     def forget_target(self, target):
-        """Forget a target that has gone or started anew."""
+        """Drop all entries of a target that was removed or restarted."""
         self._cached.pop(target, None)
 
     def count_cached(self, target, keys):
-        """Count the leading pieces that a target probably has.
+        """Count the leading pieces that a target probably has cached.
 
         >>> directory = Directory()
         >>> directory.record_cached('t', ['a', 'b', 'd'])
@@ -74,22 +76,22 @@
     def record_stored(self, workspace, block, tokens):
         """Offer a sealed block."""
         self._stored[block.key] = Stored(block, tokens, workspace)
-        while len(self._stored) > self._most_stored:
+        while len(self._stored) > self._max_stored_keys:
             self._stored.popitem(last=False)
 
     def record_freed(self, keys):
-        """Take blocks off the offer."""
+        """Withdraw the offer of blocks."""
         for key in keys:
             self._stored.pop(key, None)
 
     def find_stored(self, keys):
-        """Give what is on offer for each key, or None."""
+        """Return the offered block of each key, or None for a key without."""
         return [self._stored.get(key) for key in keys]
 
     def is_stored(self, key):
-        """Tell whether a block of this key is on offer."""
+        """Return whether a block of this key is offered."""
         return key in self._stored
 
     def get_stored(self, key):
-        """Give the block on offer under a key, or None."""
+        """Return the offered block of a key, or None."""
         return self._stored.get(key)
--- a/landingspool/decisions/identity.py
+++ b/landingspool/decisions/identity.py
@@ -1,8 +1,8 @@
-"""Identity of prompt context: chain hashes over pieces of a prompt.
+"""Keys of cached context: chain hashes over the pieces of a prompt.
 
-The workspace is inside the chain, so that a key made for one workspace can
-never name the context of another.  The weight version is hashed in last: a
-scheduler learns only from the chosen target which version that is.
+The workspace is part of the chain, so that a key of one workspace can never
+name the context of another.  The weight version is hashed last, because a
+scheduler knows it only once a target has been chosen.
 """
 
 import functools
@@ -16,7 +16,7 @@
 
 
 class Origin(typing.NamedTuple):
-    """Under what a piece of context was made."""
+    """The workspace, model and adapter that a piece of context is for."""
 
     workspace: str
     model: str
@@ -26,7 +26,7 @@
 def count_tokens(text):
     """Estimate the tokens of a prompt from its size in bytes.
 
-    The engines count exactly; here only the order of size is needed.
+    The engines count exactly; here a rough estimate is sufficient.
 
     >>> count_tokens('x' * 8)
     2
@@ -35,7 +35,7 @@
 
 
 def hash_pieces(origin, prompt):
-    """List the keys of the whole pieces of a prompt.
+    """List the keys of the complete pieces of a prompt.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
     Returns
     -------
     tuple of bytes
-        One key for each whole piece; each depends on all before it.
+        One key for each complete piece; each depends on all before it.
 
     >>> one = Origin('a', 'm', '')
     >>> keys = hash_pieces(one, 'x' * PIECE_BYTES * 2)
@@ -55,19 +55,21 @@
     False
     """
     seed = '\0'.join(origin).encode()
-    link = hashlib.blake2b(seed, digest_size=DIGEST_BYTES).digest()
+    chain = hashlib.blake2b(seed, digest_size=DIGEST_BYTES).digest()
     data = prompt.encode()
     keys = []
     for start in range(0, len(data) - PIECE_BYTES + 1, PIECE_BYTES):
         piece = data[start : start + PIECE_BYTES]
-        link = hashlib.blake2b(link + piece, digest_size=DIGEST_BYTES).digest()
-        keys.append(link)
+        chain = hashlib.blake2b(
+            chain + piece, digest_size=DIGEST_BYTES
+        ).digest()
+        keys.append(chain)
     return tuple(keys)
 
 
 @functools.lru_cache(maxsize=65536)
 def add_version(piece, version):
-    """Give the key of a piece's context under a weight version.
+    """Return the key of a piece's context under a weight version.
 
     Parameters
     ----------
@@ -77,7 +79,7 @@
     Returns
     -------
     str
-        Hexadecimal digits, as targets and stores are told.
+        Hexadecimal digits, as sent to targets and stores.
 
     >>> add_version(b'aa', 'v1') == add_version(b'aa', 'v2')
     False
@@ -87,10 +89,10 @@
 
 
 def hash_key(key):
-    """Give the hash under which a bearer key stands in the table."""
+    """Return the hash that represents a bearer key in the table."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def checksum(data):
-    """Give the checksum of a block's bytes."""
+    """Return the checksum of a block's bytes."""
     return hashlib.blake2b(data, digest_size=16).hexdigest()
--- a/landingspool/decisions/keeper.py
+++ b/landingspool/decisions/keeper.py
@@ -1,9 +1,9 @@
-"""The keeper of one pool's context: what to export, to free, to offer.
+"""Offloading of a pool's cached context (KV cache blocks) to the stores.
 
-It turns the retention policy's choice into steps with the stores.  A write
-gets an identity that is never used again; a block is offered only after
-its seal was confirmed, taken off the offer before it is freed, and a store
-that fails or is full is left alone for a time.
+Decides which blocks to export, to offer to targets and to free, following
+the retention policy.  Each write gets an identifier that is never reused.  A
+block is offered only after its seal was confirmed, and withdrawn before it
+is freed.  A store that fails or is full gets no writes for a back-off time.
 """
 
 import collections
@@ -14,16 +14,16 @@
 from landingspool.decisions import identity
 from landingspool.decisions import retention
 
-MOST_EXPORTS = 2
-MOST_WISHES = 256
-MOST_REJECTED = 4096
-STORE_REST_S = 5.0
+MAX_EXPORTS = 2
+MAX_CANDIDATES = 256
+MAX_REJECTED_WRITES = 4096
+STORE_BACKOFF_S = 5.0
 DEFAULT_BLOCK_BYTES = 65536
-ORPHAN_S = 60.0
+ORPHAN_AGE_S = 60.0
 
 
 class Export(typing.NamedTuple):
-    """Ask a target to write a piece of context to a store."""
+    """Ask a target to write the context of one piece to a store."""
 
     pool: str
     workspace: str
@@ -35,8 +35,8 @@
     depth: int
 
 
-class Wish(typing.NamedTuple):
-    """A piece that may be worth keeping, at a target that has it now."""
+class Candidate(typing.NamedTuple):
+    """A piece that could be exported, with a target that has it cached."""
 
     work: typing.Any
     key: str
@@ -52,52 +52,59 @@
 
 
 class Store(typing.NamedTuple):
-    """What is known of one store."""
+    """State of one store.
+
+    `capacity` is in bytes, for this pool.  The store gets no writes before
+    the time `backoff_until`, in seconds.
+    """
 
     name: str
-    room: int
-    until: float = 0.0
+    capacity: int
+    backoff_until: float = 0.0
 
 
 class Keeper:
-    """Plans the kept context of one pool.
+    """Plans which context of one pool is held in the stores.
 
     Parameters
     ----------
     box : str
+        Prefix of the identifiers of this planner's writes.
     policy : str
         Name of the retention policy.
     """
 
     def __init__(self, box, policy):
         self.box = box
-        self.shelf = retention.Shelf(policy, 0)
+        self.retention = retention.RetentionPlan(policy, 0)
         self.stores = {}
         self._writes = itertools.count(1)
         self._exporting = {}
-        self._wishes = collections.OrderedDict()
+        self._candidates = collections.OrderedDict()
         self._states = {}
         self._rejected = collections.OrderedDict()
         self._block_bytes = DEFAULT_BLOCK_BYTES
 
     def set_stores(self, stores):
-        """Take in the stores in use and their room for this pool."""
+        """Update from the stores in use and their capacity for this pool."""
         for name in [n for n in self.stores if n not in stores]:
             del self.stores[name]
-            self.shelf.drop_store(name)
-        for name, room in stores.items():
+            self.retention.drop_store(name)
+        for name, capacity in stores.items():
             old = self.stores.get(name)
-            until = old.until if old else 0.0
-            self.stores[name] = Store(name, room, until)
-        self.shelf.room = sum(store.room for store in self.stores.values())
+            backoff_until = old.backoff_until if old else 0.0
+            self.stores[name] = Store(name, capacity, backoff_until)
+        self.retention.capacity = sum(
+            store.capacity for store in self.stores.values()
+        )
 
     def plan(self, flight, target, directory, shares, now):
-        """Plan what to keep of a finished request.
+        """Plan what to export of the context of a finished request.
 
         Parameters
         ----------
         flight : pool.Flight
-            Its grant, with the names of its pieces.
+            The grant of the request, with the keys of its pieces.
         target : pool.Target or None
         directory : directory.Directory
         shares : dict of str to float
@@ -108,29 +115,33 @@
         list of Export or Free
         """
         for key in flight.keys:
-            self.shelf.record_use(key, now)
+            self.retention.record_use(key, now)
         if target is None or target.report is None:
             return []
         for depth, key in enumerate(flight.keys):
             if not directory.is_stored(key) and key not in self._exporting:
-                self._wishes[key] = Wish(flight.work, key, depth, target)
-        while len(self._wishes) > MOST_WISHES:
-            self._wishes.popitem(last=False)
+                self._candidates[key] = Candidate(
+                    flight.work, key, depth, target
+                )
+        while len(self._candidates) > MAX_CANDIDATES:
+            self._candidates.popitem(last=False)
         return self.work(directory, shares, now)
 
     def work(self, directory, shares, now):
-        """Begin the exports that there is room for; returns actions."""
+        """Start exports up to the limit and return a list of actions."""
         actions = []
-        while self._wishes and len(self._exporting) < MOST_EXPORTS:
-            _, wish = self._wishes.popitem(last=False)
-            if not directory.is_stored(wish.key):
-                actions += self._keep(wish, directory, shares, now)
+        while self._candidates and len(self._exporting) < MAX_EXPORTS:
+            _, candidate = self._candidates.popitem(last=False)
+            if not directory.is_stored(candidate.key):
+                actions += self._start_export(
+                    candidate, directory, shares, now
+                )
         return actions
 
     def sealed(self, key, block, directory, workspace):
-        """Take in the confirmed seal of a write: offer it from now on."""
+        """Record the confirmed seal of a write and offer its block."""
         self._exporting.pop(key, None)
-        if key not in self.shelf.kept:
+        if key not in self.retention.blocks:
             return [Free(block.store, block.write)]
         state = blocks.advance(blocks.State.WRITING, 'seal')
         self._states[key] = blocks.advance(state, 'offer')
@@ -139,29 +150,31 @@
         return []
 
     def failed(self, key, store, now):
-        """Take in that a write failed: nothing of it was offered."""
+        """Record a failed write; nothing of it has been offered."""
         self._exporting.pop(key, None)
-        self.shelf.drop(key)
+        self.retention.drop(key)
         known = self.stores.get(store)
         if known is not None:
-            self.stores[store] = known._replace(until=now + STORE_REST_S)
+            self.stores[store] = known._replace(
+                backoff_until=now + STORE_BACKOFF_S
+            )
         return []
 
     def reject(self, failed):
-        """Free blocks that failed a check; they are not adopted again."""
+        """Free blocks that failed a check, and never adopt them again."""
         for block in failed:
-            self.shelf.drop(block.key)
+            self.retention.drop(block.key)
             self._states.pop(block.key, None)
             self._rejected[block.write] = True
-        while len(self._rejected) > MOST_REJECTED:
+        while len(self._rejected) > MAX_REJECTED_WRITES:
             self._rejected.popitem(last=False)
         return [Free(block.store, block.write) for block in failed]
 
     def adopt(self, listing, directory, now):
-        """Take in a store's listing, as a keeper that has just begun.
+        """Adopt the blocks of a store's listing, as after a restart.
 
-        Sealed blocks are offered again; a write that was never sealed and
-        that nobody can still be writing is freed.
+        Sealed blocks are offered again.  A write that was never sealed and
+        is too old to be in progress still is freed.
         """
         actions = []
         for row in listing:
@@ -169,12 +182,12 @@
                 continue
             if row.sealed and not directory.is_stored(row.block.key):
                 actions += self._adopt_block(row, directory, now)
-            elif not row.sealed and row.age > ORPHAN_S:
+            elif not row.sealed and row.age > ORPHAN_AGE_S:
                 actions.append(Free(row.block.store, row.block.write))
         return actions
 
     def _adopt_block(self, row, directory, now):
-        kept = retention.Kept(
+        retained = retention.RetainedBlock(
             key=row.block.key,
             workspace=row.workspace,
             store=row.block.store,
@@ -184,75 +197,77 @@
             returns=0,
             depth=row.depth,
         )
-        room, gone = self.shelf.add(kept, {}, now)
-        if not room:
+        accepted, evicted = self.retention.add(retained, {}, now)
+        if not accepted:
             return [Free(row.block.store, row.block.write)]
         self._states[row.block.key] = blocks.State.OFFERED
         directory.record_stored(
             row.workspace, row.block, identity.PIECE_TOKENS
         )
-        return self._evict(gone, directory)
+        return self._evict(evicted, directory)
 
-    def _keep(self, wish, directory, shares, now):
-        if not self._list_rested(now) or wish.target.report is None:
+    def _start_export(self, candidate, directory, shares, now):
+        if not self._list_available(now) or candidate.target.report is None:
             return []
-        kept = retention.Kept(
-            key=wish.key,
-            workspace=wish.work.workspace,
+        retained = retention.RetainedBlock(
+            key=candidate.key,
+            workspace=candidate.work.workspace,
             store='',
             bytes=self._block_bytes,
-            cost_s=identity.PIECE_TOKENS / wish.target.report.prefill,
+            cost_s=identity.PIECE_TOKENS / candidate.target.report.prefill,
             used=now,
             returns=0,
-            depth=wish.depth,
+            depth=candidate.depth,
         )
-        room, gone = self.shelf.add(kept, shares, now)
-        if not room:
+        accepted, evicted = self.retention.add(retained, shares, now)
+        if not accepted:
             return []
-        actions = self._evict(gone, directory)
+        actions = self._evict(evicted, directory)
         store = self._pick_store(now)
-        self.shelf.place(wish.key, store)
-        write = f'{self.box}.{next(self._writes)}.{wish.key[:8]}'
-        self._exporting[wish.key] = store
-        self._states[wish.key] = blocks.State.WRITING
+        self.retention.assign_store(candidate.key, store)
+        write = f'{self.box}.{next(self._writes)}.{candidate.key[:8]}'
+        self._exporting[candidate.key] = store
+        self._states[candidate.key] = blocks.State.WRITING
         export = Export(
-            pool=wish.work.pool,
-            workspace=wish.work.workspace,
-            target=wish.target.member.name,
-            incarnation=wish.target.incarnation,
-            key=wish.key,
+            pool=candidate.work.pool,
+            workspace=candidate.work.workspace,
+            target=candidate.target.member.name,
+            incarnation=candidate.target.incarnation,
+            key=candidate.key,
             store=store,
             write=write,
-            depth=wish.depth,
+            depth=candidate.depth,
         )
         return [*actions, export]
 
-    def _list_rested(self, now):
-        return [s for s in self.stores.values() if s.until <= now]
+    def _list_available(self, now):
+        return [s for s in self.stores.values() if s.backoff_until <= now]
 
     def _pick_store(self, now):
-        # The one with the most room left: the plan is over all stores,
-        # and a write to a full one would fail.
+        # The store with the most free capacity: the plan covers all stores
+        # together, and a write to a full one would fail.
         def rank(store):
-            return self.shelf.count_stored(store.name) - store.room, store.name
+            return self.retention.get_stored_bytes(
+                store.name
+            ) - store.capacity, store.name
 
-        return min(self._list_rested(now), key=rank).name
+        return min(self._list_available(now), key=rank).name
 
-    def _evict(self, gone, directory):
+    def _evict(self, evicted, directory):
         actions = []
-        for kept in gone:
-            # First off the offer, then freed: a reader that is under way
-            # finds the seal gone and computes the context again.
-            stored = directory.get_stored(kept.key)
-            directory.record_freed([kept.key])
-            self._states.pop(kept.key, None)
+        for retained in evicted:
+            # Withdrawn first, then freed: a reader that has started already
+            # finds the seal removed and recomputes the context.
+            stored = directory.get_stored(retained.key)
+            directory.record_freed([retained.key])
+            self._states.pop(retained.key, None)
             if stored is not None:
                 actions.append(Free(stored.block.store, stored.block.write))
         return actions
 
 
 class Listed(typing.NamedTuple):
-    """One write in a store's listing."""
+    """One write in a store's listing; its `age` is in seconds."""
 
     block: typing.Any
     workspace: str
--- a/landingspool/decisions/messages.py
+++ b/landingspool/decisions/messages.py
@@ -1,9 +1,10 @@
-"""The typed messages between boxes, and their codes on the wire.
+"""The typed messages between boxes and their codes on the wire.
 
 A message is a NamedTuple; on the wire it is a CBOR array of its code and
-its fields.  A decorator gives each its code, so that the registry is the
-one list of what may be sent.  Codes are never used again for another
-meaning: a box of the version before must be able to refuse them.
+its fields.  A decorator registers each class under its code, so that the
+registry is the only list of what may be sent.  A code is never reused for
+another meaning, because a box of the previous version must be able to
+refuse the codes that it does not know.
 """
 
 import typing
@@ -22,12 +23,12 @@
     ----------
     code : int
     vital : bool
-        Whether a full queue drops other messages before this one.
+        Whether a full queue drops messages of other classes first.
     """
 
     def add(kind):
         if code in REGISTRY:
-            raise ValueError(f'code {code} is taken')
+            raise ValueError(f'message code {code} is registered already')
         REGISTRY[code] = kind
         kind.CODE = code
         kind.VITAL = vital
@@ -38,17 +39,18 @@
 
 @register(1, vital=True)
 class Ask(typing.NamedTuple):
-    """An entry box asks the scheduler of a pool for a place."""
+    """An entry box asks the scheduler of a pool for a slot."""
 
     work: records.Work
 
 
 @register(2, vital=True)
 class Grant(typing.NamedTuple):
-    """A scheduler gives a request its place at a target.
+    """A scheduler grants a request a slot at a target.
 
-    `valid` is the number of seconds for which the place may be used;
-    `leave` the number after which it is taken back unless renewed.
+    `valid` is the number of seconds within which the request may be sent;
+    `lease` the number of seconds after which the slot is reclaimed unless
+    the lease is renewed.
     """
 
     request: str
@@ -65,7 +67,7 @@
 
 @register(3, vital=True)
 class Refuse(typing.NamedTuple):
-    """A scheduler refuses a request; it did not run."""
+    """A scheduler refuses a request; the request was not executed."""
 
     request: str
     reason: str
@@ -74,7 +76,7 @@
 
 @register(4, vital=True)
 class Spill(typing.NamedTuple):
-    """A scheduler sends a request on to another failure domain."""
+    """A scheduler forwards a request to another failure domain."""
 
     request: str
     domain: str
@@ -82,11 +84,12 @@
 
 @register(5, vital=True)
 class Done(typing.NamedTuple):
-    """An entry box gives a place back, with what it cost.
+    """An entry box releases a slot and reports what the request cost.
 
-    What the scheduler knows of the grant is not said again.  `held` is the
-    number of seconds from the dispatch to the end; `fetched` the number of
-    blocks that were imported before it, which took `fetch_s` seconds.
+    Details of the grant that the scheduler knows are not repeated.  `held`
+    is the number of seconds from dispatch to the end of the request;
+    `fetched` the number of blocks imported before it, which took `fetch_s`
+    seconds.
     """
 
     request: str
@@ -103,14 +106,14 @@
 
 @register(6, vital=True)
 class Withdraw(typing.NamedTuple):
-    """An entry box no longer wants a place."""
+    """An entry box withdraws its request for a slot."""
 
     request: str
     pool: str
 
 
 class Held(typing.NamedTuple):
-    """A grant that an entry box holds, for a scheduler that starts."""
+    """A grant that an entry box holds, reported to a new scheduler."""
 
     work: records.Work
     grant: str
@@ -119,10 +122,10 @@
 
 @register(7, vital=True)
 class Announce(typing.NamedTuple):
-    """What an entry box holds and what it waits for, in one pool.
+    """The grants that an entry box holds and awaits in one pool.
 
-    Sent to a scheduler that is new, and in every renewal period, so that
-    grants of a dead box lapse and a new scheduler starts with the truth.
+    Sent to a new scheduler and in every renewal period, so that the grants
+    of a dead box expire and a new scheduler starts from the actual state.
     """
 
     entry: str
@@ -134,7 +137,7 @@
 
 @register(8, vital=True)
 class Unknown(typing.NamedTuple):
-    """A scheduler was told of grants that it does not know."""
+    """A scheduler received an announcement of grants unknown to it."""
 
     pool: str
     scheduler: str
@@ -142,14 +145,14 @@
 
 @register(9, vital=True)
 class Queued(typing.NamedTuple):
-    """A scheduler has heard a request, which waits in its queue."""
+    """A scheduler has received a request and put it into its queue."""
 
     request: str
 
 
 @register(10, vital=True)
 class Reserve(typing.NamedTuple):
-    """Ask the limiter of a workspace for one of its places."""
+    """Ask the limiter of a workspace for a permit."""
 
     request: str
     entry: str
@@ -167,7 +170,7 @@
 
 @register(12, vital=True)
 class Release(typing.NamedTuple):
-    """Give a workspace's place back."""
+    """Release a permit of a workspace."""
 
     request: str
     workspace: str
@@ -175,10 +178,10 @@
 
 @register(13, vital=True)
 class Renew(typing.NamedTuple):
-    """The places that an entry box still holds, by workspace.
+    """The permits that an entry box still holds, by workspace.
 
-    One message for all workspaces of one limiter, since most of the cost
-    is in the message itself.
+    One message covers all workspaces of one limiter, because most of the
+    cost is per message.
     """
 
     entry: str
@@ -187,9 +190,10 @@
 
 @register(14)
 class Borrow(typing.NamedTuple):
-    """Ask another domain's limiter for places of a workspace.
+    """Ask another domain's limiter for permits of a workspace.
 
-    `asked` is the asker's own monotonic time; the answer repeats it.
+    `asked` is the borrower's own monotonic time in seconds; the answer
+    repeats it.
     """
 
     workspace: str
@@ -200,7 +204,7 @@
 
 @register(15)
 class Lend(typing.NamedTuple):
-    """Places lent to another domain for `term` seconds from its ask."""
+    """Permits lent to another domain for `term` seconds from `asked`."""
 
     workspace: str
     loan: str
@@ -211,7 +215,7 @@
 
 
 class Mark(typing.NamedTuple):
-    """What is known of a member; a later incarnation or state wins."""
+    """State of a member; a later incarnation or state takes precedence."""
 
     name: str
     incarnation: str
@@ -221,7 +225,7 @@
 
 @register(20)
 class Probe(typing.NamedTuple):
-    """Ask a box whether it is alive."""
+    """Check whether a box is alive."""
 
     number: int
     marks: tuple[Mark, ...]
@@ -238,7 +242,7 @@
 
 @register(22)
 class ProbeFor(typing.NamedTuple):
-    """Ask a box to probe another one on our behalf."""
+    """Ask a box to probe another one on behalf of the sender."""
 
     number: int
     subject: str
@@ -246,7 +250,7 @@
 
 
 class Room(typing.NamedTuple):
-    """Summary of a pool: free places and expected wait in seconds."""
+    """Summary of a pool: free slots and expected wait in seconds."""
 
     model: str
     free: int
@@ -257,7 +261,7 @@
 
 @register(23)
 class Summary(typing.NamedTuple):
-    """What one domain tells the others of its pools."""
+    """Load of a domain's pools, reported to the other domains."""
 
     domain: str
     rooms: tuple[Room, ...]
@@ -265,7 +269,7 @@
 
 @register(24, vital=True)
 class Leaving(typing.NamedTuple):
-    """A target is leaving; the mark sticks for its incarnation."""
+    """A target is leaving; this holds for its whole incarnation."""
 
     target: str
     incarnation: str
@@ -273,7 +277,7 @@
 
 @register(30)
 class Fetch(typing.NamedTuple):
-    """Ask a peer for the log's records after an offset."""
+    """Ask a peer for the records of a log stream after an offset."""
 
     stream: str
     after: int
@@ -281,7 +285,7 @@
 
 @register(31)
 class Records(typing.NamedTuple):
-    """Records of the log, relayed by a peer, in offset order."""
+    """Records of a log stream, relayed by a peer, in offset order."""
 
     stream: str
     after: int
@@ -290,7 +294,7 @@
 
 @register(40, vital=True)
 class Recall(typing.NamedTuple):
-    """Ask the box that won a claim what became of the request."""
+    """Ask the box that won a claim for the outcome of the request."""
 
     request: str
     entry: str
@@ -299,7 +303,7 @@
 
 @register(41, vital=True)
 class Recalled(typing.NamedTuple):
-    """The answer to Recall: the verdict and the kept answer, if any."""
+    """The answer to Recall: the verdict and the stored answer, if any."""
 
     request: str
     verdict: str
@@ -309,14 +313,14 @@
 
 @register(51)
 class Freed(typing.NamedTuple):
-    """Blocks that are no longer to be offered."""
+    """Blocks that must no longer be offered."""
 
     pool: str
     keys: tuple[str, ...]
 
 
 def pack(message):
-    """Give the array that stands for a message on the wire.
+    """Return the array that encodes a message on the wire.
 
     >>> pack(Refuse('r1', 'full', 2.0))
     [3, 'r1', 'full', 2.0]
@@ -325,7 +329,7 @@
 
 
 def unpack(array):
-    """Check an array from the wire.
+    """Decode an array from the wire and check it.
 
     Returns
     -------
@@ -339,11 +343,13 @@
     'unknown_code'
     """
     if not isinstance(array, list) or not array:
-        return None, records.Problem('-', 'bad_message', 'not an array')
+        return None, records.Problem('-', 'bad_message', 'expected an array')
     code = array[0]
     kind = REGISTRY.get(code) if isinstance(code, int) else None
     if kind is None:
-        return None, records.Problem(str(code), 'unknown_code', 'no message')
+        return None, records.Problem(
+            str(code), 'unknown_code', 'no such message'
+        )
     try:
         return msgspec.convert(array[1:], kind), None
     except msgspec.ValidationError as error:
--- a/landingspool/decisions/node.py
+++ b/landingspool/decisions/node.py
@@ -1,8 +1,8 @@
-"""All decisions of one box behind one narrow seam.
+"""The decision logic of one box behind a single interface.
 
-A `Node` takes typed messages with the time and returns typed actions; it
-does no input or output.  The daemon carries the actions out; tests and
-benches drive it in virtual time in the same way.
+A `Node` receives typed messages together with the current time and returns
+typed actions; it does no input or output.  The daemon executes the actions.
+Tests and benchmarks drive it through the same interface in virtual time.
 """
 
 import random
@@ -19,13 +19,13 @@
 from landingspool.decisions import pools
 from landingspool.decisions import roster
 
-SUMMARY_S = 0.5
+SUMMARY_PERIOD_S = 0.5
 
 HANDLERS = {}
 
 
 def handles(*kinds):
-    """Register a method of Node as the handler of message classes."""
+    """Register a method of `Node` as the handler of message classes."""
 
     def add(function):
         for kind in kinds:
@@ -36,7 +36,7 @@
 
 
 class Node:
-    """The core of one box.
+    """The decision logic of one box.
 
     Parameters
     ----------
@@ -69,38 +69,38 @@
         self.entry = entry.Entry(
             box, domain, self.roster.view, self.roster.pick_shard
         )
-        self._summed = 0.0
+        self._last_summary = 0.0
         self._shares = {}
-        self._shares_for = None
+        self._shares_offset = None
 
     @property
     def members(self):
-        """The members of the live list by name."""
+        """The members of the live list, by name."""
         return self.roster.members
 
     def handle(self, sender, message, now):
-        """Handle one message; returns a list of actions."""
+        """Handle one message and return a list of actions."""
         handler = HANDLERS.get(type(message))
         if handler is None:
             return [outputs.Relay(sender, message)]
         return self._expand(handler(self, sender, message, now), now)
 
     def tick(self, now):
-        """Do what is due; returns a list of actions."""
+        """Run the periodic work that is due and return a list of actions."""
         actions = self._tick_membership(now)
         actions += self.entry.tick(now)
         actions += self.pools.tick(self.table, now)
         actions += self._tick_limiter(now)
-        if now - self._summed >= SUMMARY_S:
-            self._summed = now
+        if now - self._last_summary >= SUMMARY_PERIOD_S:
+            self._last_summary = now
             actions += self.pools.summarize(now)
         return self._expand(actions, now)
 
     def resume(self, seconds, now):
-        """Go on after a time in which this process did not run.
+        """Continue after a stall of this process of `seconds` seconds.
 
-        Others were silent only because nobody listened, and what they have
-        sent meanwhile is still to be read.
+        Peers seem silent only because this process did not read; what they
+        sent during the stall is still to be read.
         """
         self.membership.reset(now)
         self.entry.resume(seconds)
@@ -108,12 +108,12 @@
         self.limiter.resume(seconds)
 
     def set_table(self, table):
-        """Put a newer table in force; an older one changes nothing."""
+        """Switch to a newer table; an older one is ignored."""
         if table.offset > self.table.offset:
             self.table = table
 
     def set_live(self, members, now):
-        """Take in the live list; returns a list of actions."""
+        """Update from the live list and return a list of actions."""
         if not self.roster.set_live(members):
             return []
         boxes = self.roster.list_boxes(self.domain)
@@ -121,42 +121,42 @@
         actions = []
         for member in members:
             if member.leaving and member.kind in roster.TARGET_KINDS:
-                mark = (member.name, member.incarnation)
-                actions += self._mark_leaving(mark, 'live_list')
+                target_mark = (member.name, member.incarnation)
+                actions += self._mark_leaving(target_mark, 'live_list')
         self.pools.set_members()
         return actions
 
     def set_stores(self, contents, now):
-        """Take in what the stores hold; returns a list of actions."""
+        """Update from the stores' listings and return a list of actions."""
         return self._expand(self.pools.set_stores(contents, now), now)
 
     def report(self, report, now):
-        """Take in a load report of a target; returns a list of actions."""
+        """Update from a target's load report and return a list of actions."""
         actions = []
         if report.leaving:
-            mark = (report.target, report.incarnation)
-            actions += self._mark_leaving(mark, 'report')
+            target_mark = (report.target, report.incarnation)
+            actions += self._mark_leaving(target_mark, 'report')
         actions += self.pools.report(report, now)
         return self._expand(actions, now)
 
     def open_request(self, work, now):
-        """Begin to ask for a place; returns a list of actions."""
+        """Start to ask for a slot and return a list of actions."""
         return self._expand(self.entry.open(work, now), now)
 
     def end_request(self, request, now):
-        """End a request of this box; returns a list of actions."""
+        """Close a request of this box and return a list of actions."""
         return self._expand(self.entry.close(request, now), now)
 
     def give_back(self, done, now):
-        """Return a place; returns a list of actions."""
+        """Release a slot and return a list of actions."""
         return self._expand(self.entry.give_back(done, now), now)
 
     def ask_again(self, request, avoid, now):
-        """Ask for another place; returns a list of actions."""
+        """Ask for another slot and return a list of actions."""
         return self._expand(self.entry.ask_again(request, avoid, now), now)
 
     def may_dispatch(self, grant):
-        """Give why a grant's target may not get work now, or ``''``."""
+        """Return why a grant's target must not get work now, or ``''``."""
         member = self.members.get(grant.target)
         if member is None:
             return 'unknown'
@@ -165,11 +165,11 @@
         return ''
 
     def may_order(self, command, now):
-        """Tell whether a planned order may still be sent.
+        """Return whether a planned order may still be sent.
 
-        Looked at right before its first byte: the order has to follow the
-        table in force, and for a target that does not check fences this
-        box has to be surely the only one to give orders.
+        Checked right before its first byte is sent.  The order must follow
+        the table in force.  For a target that does not check fences, this
+        box must be certain to be the only one that gives orders.
         """
         if command.order.epoch != self.table.offset:
             return False
@@ -178,36 +178,36 @@
         return self.pools.may_order(command, now)
 
     def share_of(self, workspace):
-        """Give the fair share of a workspace; the least if it has none."""
+        """Return the fair share of a workspace; the lowest if it has none."""
         row = self.table.rows.get(workspace)
         if row is None:
             return fairness.make_share(1.0, 0)
         return fairness.make_share(row.weight, row.priority)
 
     def limit_of(self, workspace):
-        """Give the request limit of a workspace; 0 if it has none."""
+        """Return the request limit of a workspace; 0 if it has none."""
         row = self.table.rows.get(workspace)
         return row.limit if row else 0
 
     def list_shares(self):
-        """Give the share of warm context of each workspace.
+        """Return each workspace's share of the cached context, by name.
 
-        Worked out once for each table, since every answer asks for it.
+        Computed once for each table, because every answer needs it.
         """
-        if self._shares_for != self.table.offset:
+        if self._shares_offset != self.table.offset:
             rows = self.table.rows.items()
             self._shares = {name: row.share for name, row in rows}
-            self._shares_for = self.table.offset
+            self._shares_offset = self.table.offset
         return self._shares
 
     def end_export(self, export, block, now):
-        """Take in what became of an export; returns a list of actions."""
+        """Record the outcome of an export and return a list of actions."""
         shares = self.list_shares()
         actions = self.pools.end_export(export, block, shares, now)
         return self._expand(actions, now)
 
     def _expand(self, actions, now):
-        """Handle at once what the box sends to itself."""
+        """Handle messages that the box sends to itself, without a link."""
         out = []
         pending = list(actions)
         while pending:
@@ -220,11 +220,11 @@
                 pending += handler(self, self.box, action.message, now)
         return out
 
-    def _mark_leaving(self, mark, source):
-        if mark in self.leaving:
+    def _mark_leaving(self, target_mark, source):
+        if target_mark in self.leaving:
             return []
-        self.leaving.add(mark)
-        target, incarnation = mark
+        self.leaving.add(target_mark)
+        target, incarnation = target_mark
         actions = [
             outputs.Note('leaving', {'target': target, 'source': source})
         ]
@@ -245,9 +245,9 @@
 
     def _tick_limiter(self, now):
         domains = self.roster.list_domains()
-        asks = self.limiter.tick(self.limit_of, domains, now)
+        loan_requests = self.limiter.tick(self.limit_of, domains, now)
         actions = []
-        for domain, message in asks:
+        for domain, message in loan_requests:
             subject = entry.name_account(message.workspace)
             box = ownership.find_owner(subject, self.roster.view(domain))
             if box:
@@ -259,8 +259,9 @@
         work = message.work
         _, domain, _ = ownership.split_pool(work.pool)
         owner = ownership.find_owner(work.pool, self.roster.view(self.domain))
-        # A box of another domain sees ours late: what it sent to the wrong
-        # box goes on to the owner, once.
+        # A box of another domain learns of changes in this domain late.  A
+        # request that it sent to the wrong box is forwarded to the owner,
+        # once.
         if domain == self.domain and sender == work.entry:
             if work.hops and owner and owner != self.box:
                 return [outputs.Send(owner, message)]
@@ -338,10 +339,10 @@
 
     @handles(messages.Leaving)
     def _on_leaving(self, sender, message, now):
-        # Passed on once more by whoever learns it from a peer, so that one
-        # lost message does not keep a box from knowing.
-        mark = (message.target, message.incarnation)
-        return self._mark_leaving(mark, sender)
+        # A box that learns this from a peer forwards it once more, so that
+        # one lost message does not leave a box uninformed.
+        target_mark = (message.target, message.incarnation)
+        return self._mark_leaving(target_mark, sender)
 
     @handles(
         messages.Grant,
--- a/landingspool/decisions/outputs.py
+++ b/landingspool/decisions/outputs.py
@@ -1,4 +1,4 @@
-"""What the core gives back: typed outputs that the shell carries out."""
+"""The typed actions that the decision logic returns to the daemon."""
 
 import typing
 
@@ -7,28 +7,28 @@
 
 
 class Send(typing.NamedTuple):
-    """A message and the box that it goes to."""
+    """Send a message to a box."""
 
     to: str
     message: typing.Any
 
 
 class Note(typing.NamedTuple):
-    """Something for the time line: an event name and its fields."""
+    """Write an event to the timeline: its name and its fields."""
 
     event: str
     fields: dict
 
 
 class Decide(typing.NamedTuple):
-    """An answer for the task of a request: a Grant or a Refuse."""
+    """Pass a Grant or a Refuse to the task of a request."""
 
     request: str
     message: typing.Any
 
 
 class Command(typing.NamedTuple):
-    """An order to a target, of the scheduler of `pool`."""
+    """Send an order of the scheduler of `pool` to a target."""
 
     order: rollout.Order
     member: records.Member
@@ -36,7 +36,7 @@
 
 
 class Relay(typing.NamedTuple):
-    """A message that is not for the core: the shell's own tasks get it."""
+    """Pass a message that the core does not handle to the daemon's tasks."""
 
     sender: str
     message: typing.Any
--- a/landingspool/decisions/ownership.py
+++ b/landingspool/decisions/ownership.py
@@ -1,9 +1,9 @@
-"""Which box is responsible for what: rendezvous hashing over live boxes.
+"""Which box owns a subject, by rendezvous hashing over the live boxes.
 
-Every box with the same view finds the same owner with no message, and when
-a box goes only what it owned moves.  Ownership is soft: with differing
-views two boxes may both act for a time, and no invariant rests on there
-being just one.
+Boxes with the same view find the same owner without exchanging messages.
+When a box leaves, only the subjects that it owned move.  Ownership is
+advisory: with different views two boxes may both act as owner for a time,
+and no invariant depends on there being only one.
 """
 
 import functools
@@ -14,12 +14,12 @@
 
 
 def score(subject, box):
-    """Give the rank of `box` for `subject`, the same in every process."""
+    """Return the hash of a subject and a box, the same in every process."""
     return xxhash.xxh3_64_intdigest(f'{subject}\0{box}'.encode())
 
 
 def find_owner(subject, boxes):
-    """Give the box responsible for `subject`, or None with no box.
+    """Return the box responsible for `subject`, or None without boxes.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
 
 @functools.lru_cache(maxsize=8192)
 def rank(subject, boxes):
-    """List the boxes for `subject`, the owner first.
+    """List the boxes by descending score for `subject`, the owner first.
 
     Source: Thaler and Ravishankar, "Using name-based mappings to increase
     hit rates", 1998 (rendezvous hashing).
@@ -47,7 +47,7 @@
 
 
 def name_pool(model, domain, index=0):
-    """Give the name of one shard of a pool.
+    """Return the name of one shard of a pool.
 
     >>> name_pool('letters', 'south')
     'letters@south#0'
@@ -56,18 +56,18 @@
 
 
 def split_pool(name):
-    """Give the model, the domain and the index of a shard's name.
+    """Return the model, the domain and the index in a shard's name.
 
     >>> split_pool('letters@south#0')
     ('letters', 'south', 0)
     """
-    model, _, rest = name.rpartition('@')
-    domain, _, index = rest.partition('#')
+    model, _, suffix = name.rpartition('@')
+    domain, _, index = suffix.partition('#')
     return model, domain, int(index)
 
 
 def count_shards(targets):
-    """Give the number of shards for a pool of so many targets.
+    """Return the number of shards of a pool with `targets` targets.
 
     >>> count_shards(0), count_shards(16), count_shards(17)
     (1, 1, 2)
@@ -76,12 +76,13 @@
 
 
 def pick_shard(model, domain, subject, targets):
-    """Give the shard of a pool that serves a request.
+    """Return the shard of a pool that serves a request.
 
     Parameters
     ----------
     subject : str
-        The first piece of the prompt, so that follow-ups meet it again.
+        The first piece of the prompt, so that follow-up requests reach the
+        same shard.
     targets : int
         Number of targets in the pool.
     """
@@ -90,7 +91,7 @@
 
 
 def list_shard(targets, index):
-    """List the targets of one shard; all boxes split them alike.
+    """List the targets of one shard; the split is the same on all boxes.
 
     >>> list_shard(['a', 'b', 'c'], 0)
     ['a', 'b', 'c']
--- a/landingspool/decisions/records.py
+++ b/landingspool/decisions/records.py
@@ -1,31 +1,31 @@
-"""The records that every part of the core speaks.
+"""The records that are shared by all modules of the decision logic.
 
 They are immutable and hold plain values only, so that they can be compared
-in tests, written to the time line and sent over a link as they are.
+in tests, written to the timeline and sent over a link unchanged.
 """
 
 import typing
 
 
 class Row(typing.NamedTuple):
-    """One row of the operators' table: what a workspace may use.
+    """One row of the operators' table: the quota of one workspace.
 
     Attributes
     ----------
     workspace : str
     weight : float
-        Share of service against the other workspaces, above 0.
+        Share of service relative to other workspaces, above 0.
     share : float
-        Fraction of the warm KV cache that is kept for it, 0 to 1.
+        Fraction of the KV cache stores reserved for it, 0 to 1.
     limit : int
-        Most requests in flight over all failure domains, at least 1.
+        Maximum requests in flight over all failure domains, at least 1.
     priority : int
-        Class of service; a higher one goes first.
+        Class of service; a higher one is served first.
     key_hash : str
         SHA-256 of its bearer key in hexadecimal digits.
     revision : int
         One more than the log offset of the publish that last changed the
-        row; 0 for a row that is not published yet.
+        row; 0 for a row that has not been published yet.
     """
 
     workspace: str
@@ -38,16 +38,16 @@
 
 
 class Block(typing.NamedTuple):
-    """A sealed block of kept context in a store.
+    """A sealed block of cached context in a store.
 
     Attributes
     ----------
     key : str
-        Chain hash over workspace, model, adapter, version and pieces.
+        Chain hash over workspace, model, adapter, pieces and version.
     store : str
         Name of the store box.
     write : str
-        Identity of the write; never used again.
+        Identifier of the write; never reused.
     length : int
         Size in bytes.
     checksum : str
@@ -62,9 +62,10 @@
 
 
 class Report(typing.NamedTuple):
-    """A load report of a target, as old as `age` seconds when it came.
+    """A load report of a target.
 
-    `prefill` is in tokens a second, `step` in seconds for each token.
+    `age` is its age in seconds on arrival, `prefill` the prefill rate in
+    tokens per second, `step` the decode time in seconds per token.
     `incarnation` changes when the target restarts.
     """
 
@@ -86,7 +87,7 @@
 
     `kind` is ``entry``, ``target``, ``plain`` or ``store``; `model` is the
     model that a target serves, or the name of a plain service.  `port` is
-    where it serves; an entry box takes links there and operators at
+    its service port; an entry box accepts links there, and operators at
     `operators_port`.
     """
 
@@ -103,28 +104,28 @@
 
 
 class Work(typing.NamedTuple):
-    """What a scheduler has to know of a request.
+    """The properties of a request that a scheduler needs.
 
     Attributes
     ----------
     request, workspace, model : str
     entry : str
-        Name of the entry box that owns the request.
+        Name of the entry box that received the request.
     pieces : tuple of bytes
         Keys of the pieces of its prompt, each a chain hash.
     prompt_tokens, output_tokens : int
-        Size of the prompt and the largest size of the answer.
+        Size of the prompt and maximum size of the answer.
     waited, left : float
-        Seconds since its arrival and until its deadline.  Durations are
-        sent in place of times, since the clocks of boxes differ.
+        Seconds since its arrival and until its deadline.  These are
+        durations and not times, because the clocks of boxes differ.
     offset : int
-        Offset of the configuration that it was admitted under.
+        Offset of the configuration under which it was admitted.
     pool : str
-        The shard that is asked for a place.
+        The shard that is asked for a slot.
     hops : int
-        How often it was sent on to another failure domain.
+        How often it was forwarded to another failure domain.
     avoid : tuple of str
-        Targets that failed it before.
+        Targets at which earlier attempts failed.
     """
 
     request: str
@@ -143,7 +144,7 @@
 
 
 class Problem(typing.NamedTuple):
-    """An error as a record: what it concerns and what is wrong."""
+    """An error as a record: its subject, a reason code and a text."""
 
     subject: str
     reason: str
@@ -151,7 +152,7 @@
 
 
 class Waiting(typing.NamedTuple):
-    """When a waiting request came and when it must be answered."""
+    """A waiting request with its arrival time and deadline, in seconds."""
 
     work: Work
     arrived: float
--- a/landingspool/decisions/retention.py
+++ b/landingspool/decisions/retention.py
@@ -1,10 +1,13 @@
-"""What context to keep: registered policies, one function each.
+"""Retention policies: which blocks of cached context the stores hold.
 
-A store has far less room than there are prompts that may return.  `value`
-keeps what saves most for its space: the time to compute the context again,
-times the chance that it is wanted again, by the bytes that it takes.  The
-chance comes from a histogram of return gaps for each workspace.  Each
-workspace has its share of the room; idle share is lent out and taken back.
+The stores have far less capacity than the prompts that may return would
+need.  The policy ``value`` retains the blocks that save the most time for
+their size: the time to recompute the context, times the probability that it
+is requested again, divided by its bytes.  The probability comes from a
+histogram of return gaps for each workspace.  Each workspace has a share of
+the capacity; an idle share is lent to other workspaces and reclaimed.
+
+A policy is one function, registered under its name.
 """
 
 import bisect
@@ -13,16 +16,21 @@
 import typing
 
 GAP_BOUNDS_S = tuple(15.0 * 2**power for power in range(16))
-GAP_FORGETTING = 0.999
+GAP_DECAY = 0.999
 PRIOR_RETURNS = 1.0
-PRIOR_KEPT = 2.0
-CANDIDATES = 64
+PRIOR_WAITING = 2.0
+MAX_CANDIDATES = 64
 
 POLICIES = {}
 
 
-class Kept(typing.NamedTuple):
-    """One kept block as the policies see it."""
+class RetainedBlock(typing.NamedTuple):
+    """A retained block, as the policies see it.
+
+    `cost_s` is the number of seconds to recompute it, `used` the time of its
+    last use in seconds, `returns` the number of its uses since it was added,
+    `depth` the index of its piece in the prompt.
+    """
 
     key: str
     workspace: str
@@ -35,7 +43,7 @@
 
 
 def policy(name):
-    """Register a policy that gives the value of a kept block."""
+    """Register a policy that computes the value of a retained block."""
 
     def add(function):
         POLICIES[name] = function
@@ -44,212 +52,221 @@
     return add
 
 
-class Gaps:
-    """Histogram of the gaps after which the prompts of a workspace return.
+class ReturnGaps:
+    """Histogram of the gaps after which prompts of a workspace return.
 
-    Old gaps are forgotten bit by bit, so that it follows its users.
+    Old gaps decay gradually, so that the histogram follows changes in use.
     """
 
     def __init__(self):
         self._counts = [0.0] * (len(GAP_BOUNDS_S) + 1)
-        self._ended = 0.0
+        self._evictions = 0.0
 
     def record_return(self, gap):
         """Count a prompt that returned after `gap` seconds."""
-        self._forget()
+        self._decay()
         self._counts[bisect.bisect_left(GAP_BOUNDS_S, gap)] += 1
 
-    def record_ended(self):
-        """Count a prompt that was given up without a return."""
-        self._forget()
-        self._ended += 1
+    def record_eviction(self):
+        """Count a prompt that was evicted before it returned."""
+        self._decay()
+        self._evictions += 1
 
     def estimate_return(self, age):
-        """Estimate the rate of return of a prompt that waits for `age`.
+        """Estimate the rate of return of a prompt not seen for `age` seconds.
 
         Returns
         -------
         float
-            Chance a second, over the bucket of gaps that `age` is in.
+            Probability per second, within the bucket that contains `age`.
 
         Notes
         -----
-        This is the hazard rate: of all that waited as long, the part that
-        returned within the bucket, by the bucket's width.
+        This is the hazard rate: of all prompts with a gap at least as long,
+        the fraction that returned within the bucket, divided by the width
+        of the bucket in seconds.
         """
         index = bisect.bisect_left(GAP_BOUNDS_S, age)
-        later = sum(self._counts[index:]) + self._ended + PRIOR_KEPT
-        low = GAP_BOUNDS_S[index - 1] if index else 0.0
-        high = GAP_BOUNDS_S[min(index, len(GAP_BOUNDS_S) - 1)]
-        width = high - low if high > low else GAP_BOUNDS_S[-1]
+        later = sum(self._counts[index:]) + self._evictions + PRIOR_WAITING
+        start = GAP_BOUNDS_S[index - 1] if index else 0.0
+        end = GAP_BOUNDS_S[min(index, len(GAP_BOUNDS_S) - 1)]
+        width = end - start if end > start else GAP_BOUNDS_S[-1]
         count = self._counts[index] + PRIOR_RETURNS / len(self._counts)
         return count / later / width
 
-    def _forget(self):
-        self._counts = [count * GAP_FORGETTING for count in self._counts]
-        self._ended *= GAP_FORGETTING
+    def _decay(self):
+        self._counts = [count * GAP_DECAY for count in self._counts]
+        self._evictions *= GAP_DECAY
 
 
 @policy('lru')
-def value_by_use(kept, gaps, now):
-    """Value by the time of the last use: the baseline."""
-    return kept.used
+def value_by_use(block, gaps, now):
+    """Return the time of the last use (least recently used goes first)."""
+    return block.used
 
 
 @policy('value')
-def value_for_space(kept, gaps, now):
-    """Value by the time saved for the space taken.
+def value_for_space(block, gaps, now):
+    """Return the expected time saved per byte.
 
-    A piece deep in a prompt is worth nothing without those before it, so
-    of two pieces of one prompt the later goes first.
+    A piece is useless without the pieces before it in the prompt, so of two
+    pieces of one prompt the later one is evicted first.
     """
-    rate = gaps.estimate_return(max(now - kept.used, 0.0))
-    shared = 1.0 + math.log1p(kept.returns)
-    return rate * shared * kept.cost_s / kept.bytes / (1 + 0.01 * kept.depth)
+    rate = gaps.estimate_return(max(now - block.used, 0.0))
+    shared = 1.0 + math.log1p(block.returns)
+    return (
+        rate * shared * block.cost_s / block.bytes / (1 + 0.01 * block.depth)
+    )
 
 
-class Shelf:
-    """The plan for the room of the stores: what is kept and what goes.
+class RetentionPlan:
+    """Plan of the capacity of the stores: which blocks are retained.
 
     Parameters
     ----------
     policy : str
         Name of a registered policy.
-    room : int
-        Bytes of room in all stores that are in use.
+    capacity : int
+        Total bytes of all stores in use.
     """
 
-    def __init__(self, policy, room):
+    def __init__(self, policy, capacity):
         self._value = POLICIES[policy]
-        self.room = room
-        self.kept = {}
+        self.capacity = capacity
+        self.blocks = {}
         self._used = collections.Counter()
-        self._gaps = collections.defaultdict(Gaps)
+        self._gaps = collections.defaultdict(ReturnGaps)
         self._total = 0
         self._by_store = collections.Counter()
         self._by_workspace = collections.defaultdict(collections.OrderedDict)
 
     def record_use(self, key, now):
-        """Note that a block was wanted again; learns its return gap."""
-        kept = self.kept.get(key)
-        if kept is None:
+        """Record a use of a block and its return gap."""
+        block = self.blocks.get(key)
+        if block is None:
             return
-        if now > kept.used:
-            self._gaps[kept.workspace].record_return(now - kept.used)
-        again = kept._replace(used=now, returns=kept.returns + 1)
-        self.kept[key] = again
-        self._by_workspace[kept.workspace].move_to_end(key)
+        if now > block.used:
+            self._gaps[block.workspace].record_return(now - block.used)
+        updated = block._replace(used=now, returns=block.returns + 1)
+        self.blocks[key] = updated
+        self._by_workspace[block.workspace].move_to_end(key)
 
-    def add(self, kept, shares, now):
-        """Keep a block; returns the blocks that have to go for it.
+    def add(self, block, shares, now):
+        """Add a block and return the blocks that are evicted for it.
 
         Parameters
         ----------
-        kept : Kept
+        block : RetainedBlock
         shares : dict of str to float
-            Share of the room of each workspace.
+            Share of the capacity of each workspace, 0 to 1.
         now : float
 
         Returns
         -------
-        tuple of (bool, list of Kept)
-            Whether the block is kept, and what goes.  Nothing goes for a
-            block that is not kept.
+        tuple of (bool, list of RetainedBlock)
+            Whether the block is retained, and which blocks are evicted.
+            None is evicted for a block that is not retained.
         """
-        if kept.key in self.kept or kept.bytes > self.room:
-            return kept.key in self.kept, []
-        gone = []
-        need = self._total + kept.bytes - self.room
-        passed = set()
-        while need > 0:
-            victim = self._find_victim(kept, shares, passed, now)
+        if block.key in self.blocks or block.bytes > self.capacity:
+            return block.key in self.blocks, []
+        evicted = []
+        excess = self._total + block.bytes - self.capacity
+        chosen = set()
+        while excess > 0:
+            victim = self._choose_victim(block, shares, chosen, now)
             if victim is None:
                 return False, []
-            gone.append(victim)
-            passed.add(victim.key)
-            need -= victim.bytes
-        for victim in gone:
-            self._gaps[victim.workspace].record_ended()
+            evicted.append(victim)
+            chosen.add(victim.key)
+            excess -= victim.bytes
+        for victim in evicted:
+            self._gaps[victim.workspace].record_eviction()
             self.drop(victim.key)
-        self.kept[kept.key] = kept
-        self._by_workspace[kept.workspace][kept.key] = True
-        self._used[kept.workspace] += kept.bytes
-        self._by_store[kept.store] += kept.bytes
-        self._total += kept.bytes
-        return True, gone
-
-    def place(self, key, store):
-        """Say in which store a block is, once that is chosen."""
-        kept = self.kept[key]
-        self._by_store[kept.store] -= kept.bytes
-        self._by_store[store] += kept.bytes
-        self.kept[key] = kept._replace(store=store)
-
-    def count_stored(self, store):
-        """Give the bytes that the plan has in a store."""
+        self.blocks[block.key] = block
+        self._by_workspace[block.workspace][block.key] = True
+        self._used[block.workspace] += block.bytes
+        self._by_store[block.store] += block.bytes
+        self._total += block.bytes
+        return True, evicted
+
+    def assign_store(self, key, store):
+        """Record which store was chosen for a block."""
+        block = self.blocks[key]
+        self._by_store[block.store] -= block.bytes
+        self._by_store[store] += block.bytes
+        self.blocks[key] = block._replace(store=store)
+
+    def get_stored_bytes(self, store):
+        """Return the planned bytes in a store."""
         return self._by_store[store]
 
     def drop(self, key):
-        """Take a block out of the plan; returns it or None."""
-        kept = self.kept.pop(key, None)
-        if kept is not None:
-            self._used[kept.workspace] -= kept.bytes
-            self._by_store[kept.store] -= kept.bytes
-            self._total -= kept.bytes
-            del self._by_workspace[kept.workspace][key]
-        return kept
+        """Remove a block from the plan; return it, or None if unknown."""
+        block = self.blocks.pop(key, None)
+        if block is not None:
+            self._used[block.workspace] -= block.bytes
+            self._by_store[block.store] -= block.bytes
+            self._total -= block.bytes
+            del self._by_workspace[block.workspace][key]
+        return block
 
     def drop_store(self, store):
-        """Take out all blocks of a store that has died."""
-        keys = [key for key, row in self.kept.items() if row.store == store]
+        """Remove all blocks of a store that has failed; return them."""
+        keys = [key for key, row in self.blocks.items() if row.store == store]
         return [self.drop(key) for key in keys]
 
-    def get_used(self, workspace):
-        """Give the bytes that a workspace uses."""
+    def get_used_bytes(self, workspace):
+        """Return the bytes in use by a workspace."""
         return self._used[workspace]
 
-    def _find_victim(self, kept, shares, passed, now):
-        # Room is taken back first from the workspace that is furthest
-        # over its share, so a workspace inside its share never loses a
-        # block to another one.
-        owner = self._find_most_over(kept, shares, passed)
+    def _choose_victim(self, block, shares, chosen, now):
+        # Capacity is reclaimed first from the workspace that exceeds its
+        # share by the most bytes, so a workspace within its share never
+        # loses a block to another one.
+        owner = self._get_most_over_share(block, shares, chosen)
         if owner is None:
             return None
-        rows = self._list_candidates(owner, passed)
+        rows = self._list_candidates(owner, chosen)
         if not rows:
             return None
         gaps = self._gaps[owner]
         victim = min(rows, key=lambda row: self._value(row, gaps, now))
-        if owner == kept.workspace:
-            # Among its own, a block has to be worth more than what goes.
-            value = self._value(kept, gaps, now)
+        if owner == block.workspace:
+            # Within one workspace, a block must be worth no less than the
+            # block that it replaces.
+            value = self._value(block, gaps, now)
             if self._value(victim, gaps, now) > value:
                 return None
         return victim
 
-    def _find_most_over(self, kept, shares, passed):
+    def _get_most_over_share(self, block, shares, chosen):
         best, most = None, 0.0
         for name, used in self._used.items():
             if not used:
                 continue
-            gone = sum(
-                self.kept[key].bytes
-                for key in passed
-                if self.kept[key].workspace == name
+            evicted = sum(
+                self.blocks[key].bytes
+                for key in chosen
+                if self.blocks[key].workspace == name
+            )
+            own_bytes = block.bytes if name == block.workspace else 0
+            over = (
+                used
+                - evicted
+                + own_bytes
+                - shares.get(name, 0.0) * self.capacity
             )
-            mine = kept.bytes if name == kept.workspace else 0
-            over = used - gone + mine - shares.get(name, 0.0) * self.room
             if over > most:
                 best, most = name, over
         return best
 
-    def _list_candidates(self, owner, passed):
-        # The least recently used are looked at; a full search at each
-        # block would cost more than what the better choice is worth.
+    def _list_candidates(self, owner, chosen):
+        # Only the least recently used blocks are compared: a full search
+        # for each block would cost more than the better choice saves.
         rows = []
         for key in self._by_workspace[owner]:
-            if key not in passed:
-                rows.append(self.kept[key])
-            if len(rows) >= CANDIDATES:
+            if key not in chosen:
+                rows.append(self.blocks[key])
+            if len(rows) >= MAX_CANDIDATES:
                 break
         return rows
--- a/landingspool/decisions/roster.py
+++ b/landingspool/decisions/roster.py
@@ -1,8 +1,8 @@
-"""The machines that a box knows of, and who is responsible for what.
+"""Index of the machines known to a box, and of the box responsible for each.
 
-It joins the platform's lagging live list with the membership view of the
-own failure domain.  Indexes are built when the list changes, not when a
-request asks, since the list changes seldom and is asked for all the time.
+Combines the platform's live list, which lags, with the membership view of
+the box's own failure domain.  The indexes are built when the list changes
+and not for each request, because the list changes rarely and is read often.
 """
 
 import collections
@@ -13,13 +13,13 @@
 
 
 class Roster:
-    """What one box knows of boxes, targets and stores.
+    """The boxes, targets and stores known to one box.
 
     Parameters
     ----------
     box, domain : str
     membership : membership.Membership
-        The view of the boxes of the own domain.
+        The view of which boxes of the own domain are alive.
     """
 
     def __init__(self, box, domain, membership):
@@ -30,16 +30,16 @@
         self._pools = {}
         self._boxes = {}
         self._owned = ()
-        self._owned_for = None
-        self._changes = 0
+        self._owned_key = None
+        self._revision = 0
 
     def set_live(self, members):
-        """Take in the live list; returns whether it has changed."""
+        """Update from the live list and return whether it has changed."""
         found = {member.name: member for member in members}
         if found == self.members:
             return False
         self.members = found
-        self._changes += 1
+        self._revision += 1
         pools = collections.defaultdict(list)
         boxes = collections.defaultdict(list)
         for member in members:
@@ -52,22 +52,22 @@
         return True
 
     def list_boxes(self, domain):
-        """List the members that are boxes of a domain."""
+        """List the members that are entry boxes of a domain."""
         return self._boxes.get(domain, [])
 
     def list_domains(self):
-        """List the failure domains that have boxes, the own included."""
+        """List the failure domains that have boxes, and the own domain."""
         return tuple(sorted({*self._boxes, self.domain}))
 
     def view(self, domain):
-        """Give the boxes of a domain that are reckoned with."""
+        """Return the boxes of a domain that may be responsible."""
         if domain == self.domain:
             return self._membership.list_alive()
         boxes = self._boxes.get(domain, ())
         return tuple(sorted(m.name for m in boxes if not m.leaving))
 
     def find_owner(self, subject, domain):
-        """Give the box of a domain that is responsible, or None."""
+        """Return the box of a domain responsible for `subject`, or None."""
         return ownership.find_owner(subject, self.view(domain))
 
     def list_pool(self, model, domain):
@@ -84,7 +84,7 @@
         return [ownership.name_pool(model, domain, i) for i in range(count)]
 
     def pick_shard(self, work, domain):
-        """Give the shard of a domain's pool for a request."""
+        """Return the shard of a domain's pool that serves a request."""
         targets = len(self.list_pool(work.model, domain))
         subject = work.pieces[0].hex() if work.pieces else work.request
         return ownership.pick_shard(work.model, domain, subject, targets)
@@ -99,8 +99,8 @@
     def list_owned(self):
         """List the shards of the own domain that this box schedules."""
         alive = self.view(self.domain)
-        if self._owned_for != (self._changes, alive):
-            self._owned_for = self._changes, alive
+        if self._owned_key != (self._revision, alive):
+            self._owned_key = self._revision, alive
             self._owned = tuple(
                 pool
                 for model in self.list_models(self.domain)
@@ -110,7 +110,7 @@
         return self._owned
 
     def count_pools(self):
-        """Give the number of shards that share the stores."""
+        """Return the number of shards that share the stores."""
         return sum(
             len(self.list_shards(model, domain))
             for (model, domain), members in self._pools.items()
--- a/tests/examples.py
+++ b/tests/examples.py
@@ -1,4 +1,4 @@
-"""Small records that several tests begin with."""
+"""Example records and a scheduler, shared by several tests."""
 
 from landingspool.decisions import fairness
 from landingspool.decisions import identity
@@ -10,7 +10,7 @@
 
 
 def make_member(name, **changes):
-    """Give a target of the model m in the domain north."""
+    """Return a target of the model m in the domain north."""
     member = records.Member(
         name, 'target', 'north', '127.0.0.1', 1, 'm', f'{name}-1'
     )
@@ -18,7 +18,7 @@
 
 
 def make_report(name, **changes):
-    """Give a fresh load report of an idle target with four places."""
+    """Return a new load report of an idle target with four slots."""
     report = records.Report(
         target=name,
         incarnation=f'{name}-1',
@@ -36,7 +36,7 @@
 
 
 def make_work(request, workspace='a', pieces=2, **changes):
-    """Give a request of so many pieces."""
+    """Return a request with a prompt of `pieces` pieces."""
     origin = identity.Origin(workspace, 'm', '')
     text = (request.split('.')[0] + ' ' * 64)[:64]
     prompt = text * (identity.PIECE_BYTES // 64) * pieces
@@ -57,7 +57,7 @@
 
 
 def make_scheduler(targets=('t1', 't2'), now=0.0, **policy):
-    """Give a scheduler that has heard of its targets."""
+    """Return a scheduler that has a load report of each target."""
     chosen = policies.Policy(**policy)
     owned = scheduler.Scheduler('m', 'north', 'box-1', chosen, now)
     owned.set_members([make_member(name) for name in targets])
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims on keys as a fold over the log."""
+"""Claims on idempotency keys, folded from the log."""
 
 import pytest
 
@@ -7,12 +7,12 @@
 
 
 def make_claim(key, number=1, box='b1', minted=100.0, action='claim'):
-    """Give a claim."""
+    """Return a claim on a key."""
     return claims.Claim(key, f'{box}.{number}', box, minted, action)
 
 
 def fold(ledger, *batches):
-    """Fold batches in order; gives the outcomes of all claims."""
+    """Fold batches in order and return the outcomes of all claims."""
     outcomes = []
     for batch in batches:
         offset = ledger.offset + 1
@@ -60,8 +60,8 @@
     window = 60.0
     ledger = claims.Ledger(window)
     fold(ledger, [make_claim('k', minted=100.0)])
-    # The last retry comes half a window after the key was made; another
-    # box may by then have claimed keys from half a window ahead.
+    # The last retry arrives half a window after the key was made.  By then
+    # another box may have claimed keys dated half a window ahead.
     fold(ledger, [make_claim('new', minted=100.0 + window)])
     assert ledger.find('k') is not None
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The table as a fold over the log."""
+"""The configuration table, folded from the log."""
 
 import random
 
@@ -12,13 +12,13 @@
 
 
 def make_row(name, **changes):
-    """Give a good row."""
+    """Return a valid row."""
     row = records.Row(name, 1.0, 0.1, 4, 0, identity.hash_key(name))
     return row._replace(**changes)
 
 
 def make_record(edit, rows=(), removed=(), bases=None):
-    """Give the record of a publish."""
+    """Return the encoded record of a publish."""
     if bases is None:
         bases = (0,) * (len(rows) + len(removed))
     publish = configuration.Publish(
@@ -28,7 +28,7 @@
 
 
 def fold_all(data, table=None):
-    """Fold records one after the other; gives table and outcomes."""
+    """Fold records in order and return the table and the outcomes."""
     table, outcomes = table or configuration.Table(), []
     for record in data:
         offset = table.offset + 1
@@ -125,21 +125,21 @@
     data.append(configuration.encode_snapshot(snapshot))
     data.append(make_record('e3', [make_row('b', limit=9)], bases=(2,)))
     table, _ = fold_all(data)
-    kept = list(enumerate(data))[2:]
-    late, _ = configuration.restore(2, kept)
+    retained = list(enumerate(data))[2:]
+    late, _ = configuration.restore(2, retained)
     assert late == table
 
 
 def test_late_reader_without_a_snapshot_has_no_table():
-    kept = [(2, make_record('e3', [make_row('b')]))]
-    assert configuration.restore(2, kept) == (None, [])
+    retained = [(2, make_record('e3', [make_row('b')]))]
+    assert configuration.restore(2, retained) == (None, [])
 
 
 def test_snapshot_with_a_gap_behind_it_is_not_taken():
     table, _ = fold_all([make_record('e1', [make_row('a')])])
     snapshot = configuration.take_snapshot(table)
-    kept = [(5, configuration.encode_snapshot(snapshot))]
-    assert configuration.restore(5, kept) == (None, [])
+    retained = [(5, configuration.encode_snapshot(snapshot))]
+    assert configuration.restore(5, retained) == (None, [])
 
 
 @hypothesis.settings(
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever comes from outside gets an answer and never an exception."""
+"""Any input from outside gets an answer and never raises an exception."""
 
 import asyncio
 import json
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Which boxes are alive, in virtual time with lost messages."""
+"""Failure detection among boxes, in virtual time with lost messages."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 class Domain:
-    """The views of all boxes of a domain, and a lossy network."""
+    """The membership views of all boxes of a domain, and a lossy network."""
 
     def __init__(self, seed, loss=0.0):
         self.rng = random.Random(seed)
@@ -22,7 +22,7 @@
         self.views = {name: self.make(name, 'i1') for name in NAMES}
 
     def make(self, name, incarnation):
-        """Give a box's view of all on the live list."""
+        """Return the view of a box to which all boxes are listed."""
         rng = random.Random(f'{name}{incarnation}')
         view = membership.Membership(name, incarnation, rng)
         members = [records.Member(n, 'entry', 'd', 'h', 1) for n in NAMES]
@@ -30,7 +30,7 @@
         return view
 
     def run(self, seconds):
-        """Let time go on."""
+        """Run all views for `seconds` seconds of virtual time."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             pending = []
@@ -46,7 +46,7 @@
                 pending += [(box, to, reply) for to, reply in out]
 
     def list_seen(self, box):
-        """Give which boxes the others reckon with, apart from one."""
+        """Return the boxes that each running box, but `box`, sees as alive."""
         return [
             view.list_alive()
             for name, view in self.views.items()
@@ -100,8 +100,8 @@
 def test_box_that_is_off_the_list_is_no_member():
     domain = Domain(5)
     domain.run(2.0)
-    rest = [n for n in NAMES if n != 'box-3']
-    members = [records.Member(n, 'entry', 'd', 'h', 1) for n in rest]
+    remaining = [n for n in NAMES if n != 'box-3']
+    members = [records.Member(n, 'entry', 'd', 'h', 1) for n in remaining]
     view = domain.views['box-0']
     view.set_listed(members, domain.now)
     assert 'box-3' not in view.list_alive()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The decisions of a whole box, driven through its one seam."""
+"""The decision logic of a complete box, driven through its interface."""
 
 from landingspool.decisions import configuration
 from landingspool.decisions import messages
@@ -13,12 +13,12 @@
 
 
 def make_box(name, domain='north'):
-    """Give an entry box of the live list."""
+    """Return a member of the live list that is an entry box."""
     return records.Member(name, 'entry', domain, '127.0.0.1', 2)
 
 
 def make_node(box, members, versions=None):
-    """Give a node that knows the live list and a table."""
+    """Return a node with a live list and a table."""
     node = node_module.Node(box, 'north', 'i1')
     table = configuration.Table(offset=5, versions=versions or {})
     node.set_table(table)
@@ -38,7 +38,7 @@
     target = examples.make_member('t1', checks_fences=False)
     members = [*map(make_box, names), target]
     node = make_node(other, members, {'m': 'v2'})
-    # It schedules for a long time without being responsible.
+    # This box schedules for 10 s without being responsible.
     work = examples.make_work('r1', entry=owner)
     node.handle(owner, messages.Ask(work), 0.0)
     for step in range(200):
@@ -55,7 +55,7 @@
         node.report(examples.make_report('t1'), now)
         if list_commands(node.tick(now)):
             sent.append(now)
-    assert sent[0] >= 10.0 + rollout.LEASE_S + rollout.FLIGHT_S
+    assert sent[0] >= 10.0 + rollout.LEASE_S + rollout.MAX_ORDER_DELAY_S
 
 
 def test_older_table_changes_nothing():
@@ -72,7 +72,7 @@
     actions = node.set_live([*boxes, leaving], 1.0)
     message = messages.Leaving('t1', 't1-1')
     assert outputs.Send('box-2', message) in actions
-    # Told once, it is not news any more.
+    # A box that is informed already does not forward the mark again.
     assert node.handle('box-2', message, 2.0) == []
 
 
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -1,4 +1,4 @@
-"""What context is kept, and what goes."""
+"""Which blocks are retained and which are evicted."""
 
 import pytest
 
@@ -8,73 +8,75 @@
 SHARES = {'a': 0.5, 'b': 0.5}
 
 
-def make_kept(key, workspace='a', used=0.0, **changes):
-    """Give a block of one byte."""
-    kept = retention.Kept(key, workspace, 's1', 1, 1.0, used, 0, 0)
-    return kept._replace(**changes)
+def make_block(key, workspace='a', used=0.0, **changes):
+    """Return a retained block of one byte."""
+    retained = retention.RetainedBlock(
+        key, workspace, 's1', 1, 1.0, used, 0, 0
+    )
+    return retained._replace(**changes)
 
 
-def fill(shelf, workspace, count, now=0.0):
-    """Keep so many blocks of a workspace."""
+def fill(plan, workspace, count, now=0.0):
+    """Add `count` blocks of a workspace, one a second."""
     for index in range(count):
-        kept = make_kept(f'{workspace}{index}', workspace, now + index)
-        shelf.add(kept, SHARES, now + index)
+        retained = make_block(f'{workspace}{index}', workspace, now + index)
+        plan.add(retained, SHARES, now + index)
 
 
 def test_idle_share_is_lent_and_taken_back():
-    shelf = retention.Shelf('lru', 10)
-    fill(shelf, 'a', 10)
-    assert shelf.get_used('a') == 10
-    fill(shelf, 'b', 8, 100.0)
-    assert (shelf.get_used('a'), shelf.get_used('b')) == (5, 5)
+    plan = retention.RetentionPlan('lru', 10)
+    fill(plan, 'a', 10)
+    assert plan.get_used_bytes('a') == 10
+    fill(plan, 'b', 8, 100.0)
+    assert (plan.get_used_bytes('a'), plan.get_used_bytes('b')) == (5, 5)
 
 
 @pytest.mark.parametrize('policy', sorted(retention.POLICIES))
 def test_workspace_inside_its_share_loses_nothing_to_another(policy):
-    shelf = retention.Shelf(policy, 10)
-    fill(shelf, 'a', 5)
-    fill(shelf, 'b', 50, 100.0)
-    assert shelf.get_used('a') == 5
+    plan = retention.RetentionPlan(policy, 10)
+    fill(plan, 'a', 5)
+    fill(plan, 'b', 50, 100.0)
+    assert plan.get_used_bytes('a') == 5
 
 
 def test_least_recently_used_goes_first():
-    shelf = retention.Shelf('lru', 3)
-    fill(shelf, 'a', 3)
-    shelf.record_use('a0', 5.0)
-    _, gone = shelf.add(make_kept('new', used=6.0), SHARES, 6.0)
-    assert [kept.key for kept in gone] == ['a1']
+    plan = retention.RetentionPlan('lru', 3)
+    fill(plan, 'a', 3)
+    plan.record_use('a0', 5.0)
+    _, evicted = plan.add(make_block('new', used=6.0), SHARES, 6.0)
+    assert [retained.key for retained in evicted] == ['a1']
 
 
 def test_what_returns_often_is_worth_more():
-    shelf = retention.Shelf('value', 4)
+    plan = retention.RetentionPlan('value', 4)
     for index in range(2):
-        shelf.add(make_kept(f'cheap{index}', cost_s=0.1), SHARES, 0.0)
-        shelf.add(make_kept(f'dear{index}', cost_s=5.0), SHARES, 0.0)
-    _, gone = shelf.add(make_kept('new', cost_s=5.0, used=1.0), SHARES, 1.0)
-    assert gone[0].key.startswith('cheap')
+        plan.add(make_block(f'cheap{index}', cost_s=0.1), SHARES, 0.0)
+        plan.add(make_block(f'dear{index}', cost_s=5.0), SHARES, 0.0)
+    _, evicted = plan.add(make_block('new', cost_s=5.0, used=1.0), SHARES, 1.0)
+    assert evicted[0].key.startswith('cheap')
 
 
 def test_chance_of_return_follows_the_gaps_seen():
-    gaps = retention.Gaps()
+    gaps = retention.ReturnGaps()
     for _ in range(50):
         gaps.record_return(100.0)
     assert gaps.estimate_return(90.0) > 10 * gaps.estimate_return(2000.0)
 
 
 def test_nothing_goes_for_a_block_that_is_not_kept():
-    shelf = retention.Shelf('value', 2)
+    plan = retention.RetentionPlan('value', 2)
     for index in range(2):
-        shelf.add(make_kept(f'dear{index}', cost_s=9.0), SHARES, 0.0)
-    kept, gone = shelf.add(make_kept('poor', cost_s=0.01), SHARES, 0.0)
-    assert (kept, gone) == (False, [])
-    assert len(shelf.kept) == 2
+        plan.add(make_block(f'dear{index}', cost_s=9.0), SHARES, 0.0)
+    retained, evicted = plan.add(make_block('poor', cost_s=0.01), SHARES, 0.0)
+    assert (retained, evicted) == (False, [])
+    assert len(plan.blocks) == 2
 
 
 def test_dead_store_takes_its_blocks_with_it():
-    shelf = retention.Shelf('lru', 10)
-    fill(shelf, 'a', 3)
-    shelf.drop_store('s1')
-    assert shelf.get_used('a') == 0
+    plan = retention.RetentionPlan('lru', 10)
+    fill(plan, 'a', 3)
+    plan.drop_store('s1')
+    assert plan.get_used_bytes('a') == 0
 
 
 RECEIPTS = (
