--- a/landingspool/decisions/directory.py
+++ b/landingspool/decisions/directory.py
@@ -84,7 +84,7 @@
         for key in keys:
             self._stored.pop(key, None)
 
-    def find_stored(self, keys):
+    def list_stored(self, keys):
         """Return the offered block of each key, or None for a key without."""
         return [self._stored.get(key) for key in keys]
 
--- a/landingspool/decisions/membership.py
+++ b/landingspool/decisions/membership.py
@@ -17,7 +17,7 @@
 
 from landingspool.decisions import messages
 
-ROUND_S = 0.5
+PROBE_PERIOD_S = 0.5
 ACK_TIMEOUT_S = 0.2
 INDIRECT_TIMEOUT_S = 0.4
 SUSPECT_TIMEOUT_S = 2.0
@@ -154,7 +154,7 @@
         sends = self._check_pending(now)
         self._check_suspects(now)
         if now >= self._next_probe:
-            self._next_probe = now + ROUND_S
+            self._next_probe = now + PROBE_PERIOD_S
             sends += self._probe_next(now)
         return sends
 
--- a/landingspool/decisions/outputs.py
+++ b/landingspool/decisions/outputs.py
@@ -13,7 +13,7 @@
     message: typing.Any
 
 
-class Note(typing.NamedTuple):
+class TimelineEvent(typing.NamedTuple):
     """Write an event to the timeline: its name and its fields."""
 
     event: str
