--- a/landingspool/decisions/retention.py
+++ b/landingspool/decisions/retention.py
@@ -100,13 +100,13 @@
 
 
 @policy('lru')
-def value_by_use(block, gaps, now):
+def value_by_recency(block, gaps, now):
     """Return the time of the last use (least recently used goes first)."""
     return block.used
 
 
 @policy('value')
-def value_for_space(block, gaps, now):
+def value_per_byte(block, gaps, now):
     """Return the expected time saved per byte.
 
     A piece is useless without the pieces before it in the prompt, so of two
