--- a/landingspool/gateway/__init__.py
+++ b/landingspool/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Relays requests to targets by the routes that operators publish."""
+"""HTTP gateway: relays requests to targets by the published routes."""
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -1,8 +1,8 @@
-"""One try of a request at one target: send it, read the answer, pass it on.
+"""Send a request to one target, read the answer and forward it to the caller.
 
-A try ends in one of the outcomes and says nothing of what follows; the
-relay judges that.  An answer is passed on as soon as it can't be anything
-else than the one to this request.
+An attempt returns one of the classes of `outcomes`.  The relay decides what
+follows from it: an answer, another attempt or a refusal.  An answer is
+forwarded as soon as it is certain that it belongs to this request.
 """
 
 from landingspool.decisions.gateway import routes
@@ -13,50 +13,51 @@
 from landingspool.platform import answers
 from landingspool.platform import egress
 
-# Repeatable requests are tried elsewhere when no byte came for so many
-# times the latency that the route aims at, and at least for so long.
-PATIENCE_RATIO = 2.0
-LEAST_PATIENCE_S = 0.4
-# A stream is continued elsewhere after a pause of so long; callers give up
-# after two seconds or more.
-STREAM_PAUSE_S = 1.0
-# Seconds for the rest of a rejection: its connection is kept if it is read
-# to its end, and is not worth more of the request's time.
-REJECTION_S = 0.05
-# Bytes of an answer that are read before its first byte is passed on, so
-# that one that breaks early can still be tried again or told as failed.
-MOST_HELD = 256 * 1024
+# Time-out for the answer's head of a request that may be sent again: a
+# multiple of the route's latency objective, and a minimum in seconds.
+TIMEOUT_RATIO = 2.0
+MIN_TIMEOUT_S = 0.4
+# Seconds without data after which a resumable stream is continued at another
+# target.  Callers give up after two seconds or more.
+MAX_STREAM_PAUSE_S = 1.0
+# Seconds to read the body of a rejection.  Its connection can be used again
+# only after a complete read, which isn't worth more of the request's time.
+REJECTION_READ_S = 0.05
+# Bytes of an answer that are buffered before the first one is forwarded.  If
+# the answer breaks off before that, the request can still be sent again or
+# be answered with an error.
+MAX_HELD_BYTES = 256 * 1024
 
 
 class Attempt:
-    """One try.
+    """One attempt to have a request answered by the planned target.
 
     Parameters
     ----------
     hub
         The box's parts: `view`, `upstream`, `prober`, `beat`, `recorder`,
-        `metrics`, `clock`, `timer`.
-    progress : progress.Progress
-        The request; the try writes down what it did to it.
+        `metrics`, `hearing`, `marks`, `clock`, `timer`.
+    state : request_state.RequestState
+        The request; the attempt updates it.
     plan : view.Plan
     """
 
-    def __init__(self, hub, progress, plan):
+    def __init__(self, hub, state, plan):
         self._hub = hub
         self._view = hub.view
-        self._progress = progress
+        self._state = state
         self._plan = plan
-        self._planned = hub.clock()
+        self._planned_at = hub.clock()
         self._exchange = None
-        self._sent = None
+        self._sent_at = None
 
     async def run(self):
-        """Make the try; gives one of the outcomes."""
+        """Make the attempt and return one of the outcomes."""
         try:
             self._exchange = await self._hub.upstream.open(
                 self._plan.entry.address,
-                routes.may_repeat(self._progress.work.route),
-                self._view.find_kept(self._progress.work.service),
+                routes.may_repeat(self._state.work.route),
+                self._view.find_kept(self._state.work.service),
             )
         except upstream_module.Broken as error:
             reason = str(error)
@@ -68,20 +69,20 @@
         return await self._send_and_receive()
 
     def _may_send(self):
-        # Between the choice and here the process may have stood still, or
-        # the table may have changed: only a fresh decision is sent.
+        # While the connection came up, the process may have stalled or the
+        # table may have changed.  Only a decision that still holds is sent.
         now = self._hub.clock()
         return (
-            self._hub.timer.ran_since(self._planned)
+            self._hub.timer.ran_since(self._planned_at)
             and self._hub.beat.is_fresh(now)
             and is_proved(self._view, now)
-            and self._view.may_send(self._plan.entry, self._progress.work, now)
-            and not self._find_bar(now)
+            and self._view.may_send(self._plan.entry, self._state.work, now)
+            and not self._get_quarantine(now)
         )
 
-    def _find_bar(self, now):
+    def _get_quarantine(self, now):
         endings = self._view.endings
-        return endings.find_bar(self._progress.fingerprint, now)
+        return endings.find_bar(self._state.fingerprint, now)
 
     async def _send_and_receive(self):
         outcome = outcomes.Lost('stopped', outcomes.Cause.STOPPED)
@@ -93,45 +94,45 @@
         return outcome
 
     def _send(self):
-        progress, plan = self._progress, self._plan
-        self._sent = self._hub.clock()
-        progress.sends += 1
-        if progress.sends > 1:
+        state, plan = self._state, self._plan
+        self._sent_at = self._hub.clock()
+        state.sends += 1
+        if state.sends > 1:
             self._hub.metrics.repeats.inc()
-        self._view.record_sent(plan, progress.work, self._sent)
-        self._view.endings.record_sent(progress.fingerprint)
+        self._view.record_sent(plan, state.work, self._sent_at)
+        self._view.endings.record_sent(state.fingerprint)
         self._hub.recorder.record(
             'dispatched',
-            request=progress.call.name,
-            content=progress.fingerprint.hex(),
-            priority=self._find_priority(),
+            request=state.call.name,
+            content=state.fingerprint.hex(),
+            priority=self._get_priority(),
             **describe_plan(plan, self._view.table),
         )
         self._exchange.send(
-            progress.call.method,
-            progress.call.target,
+            state.call.method,
+            state.call.target,
             self._write_head(),
-            progress.body,
+            state.body,
         )
 
     def _record_end(self, outcome):
         name = self._plan.entry.name
         if isinstance(outcome, outcomes.Lost):
             self._exchange.abort()
-            self._record_loss(outcome)
-        self._view.loads.record_end(name, self._progress.work.name)
-        self._record_ending(outcome)
+            self._log_loss(outcome)
+        self._view.loads.record_end(name, self._state.work.name)
+        self._record_for_quarantine(outcome)
         if not isinstance(outcome, outcomes.Rejected):
-            self._progress.may_have_run = True
+            self._state.may_have_run = True
 
-    def _record_ending(self, outcome):
-        """Count the try for what its request does to targets.
+    def _record_for_quarantine(self, outcome):
+        """Record whether the target may have crashed under this request.
 
-        By what it asks for, since each arrival has another name, and here,
-        since whatever is counted for one arrival alone is new with the next.
+        Counted by fingerprint and over all attempts, since callers send a
+        request that crashes targets again, under a new id each time.
         """
         endings, name = self._view.endings, self._plan.entry.name
-        fingerprint, now = self._progress.fingerprint, self._hub.clock()
+        fingerprint, now = self._state.fingerprint, self._hub.clock()
         endings.record_done(fingerprint)
         if isinstance(outcome, outcomes.Done):
             endings.record_served(fingerprint, now)
@@ -142,86 +143,87 @@
                 endings.record_silent(fingerprint, name, now)
         self._hub.marks.look()
 
-    def _record_loss(self, outcome):
+    def _log_loss(self, outcome):
         self._hub.metrics.losses.labels(outcome.cause).inc()
         waiting, running = self._view.loads.count(self._plan.entry.name)
         self._hub.recorder.record(
             'lost',
-            request=self._progress.call.name,
-            content=self._progress.fingerprint.hex(),
+            request=self._state.call.name,
+            content=self._state.fingerprint.hex(),
             target=self._plan.entry.name,
             cause=outcome.cause,
-            after_s=round(self._hub.clock() - self._sent, 4),
+            after_s=round(self._hub.clock() - self._sent_at, 4),
             waiting=waiting,
             running=running,
         )
 
     def _write_head(self):
-        progress, plan = self._progress, self._plan
-        tenancy, stream = progress.work.tenancy, progress.stream
-        told = egress.Instructions(
+        state, plan = self._state, self._plan
+        tenancy, stream = state.work.tenancy, state.stream
+        instructions = egress.Instructions(
             target=plan.entry.target,
-            left_s=progress.ends - self._sent,
+            left_s=state.deadline - self._sent_at,
             workspace=tenancy.name if tenancy else '',
-            priority=self._find_priority(),
+            priority=self._get_priority(),
             version=plan.version,
             space=plan.space,
             fetch=plan.transfer.fetch,
             save=plan.transfer.save,
             until_ms=plan.transfer.until_ms,
-            after_event=stream.last_event if stream else '',
+            after_event=stream.last_event_id if stream else '',
         )
-        return egress.write_head(progress.call, told, len(progress.body))
+        return egress.write_head(state.call, instructions, len(state.body))
 
-    def _find_priority(self):
-        """Give the priority of the workspace, or else of the route."""
-        tenancy, route = self._progress.work.tenancy, self._progress.work.route
+    def _get_priority(self):
+        """Return the priority of the workspace, or else of the route."""
+        tenancy, route = self._state.work.tenancy, self._state.work.route
         if tenancy is not None and tenancy.priority is not None:
             return tenancy.priority
         return route.priority
 
     async def _receive(self):
-        """Read the answer under the request's time; gives the outcome."""
+        """Read the answer before the request's deadline; return an outcome."""
         try:
-            async with patience.Limit(self._find_patience()):
+            async with patience.Limit(self._compute_timeout()):
                 head = await self._exchange.read_head()
         except TimeoutError:
-            return self._lose('silent', outcomes.Cause.SILENT)
+            return self._report_lost('silent', outcomes.Cause.SILENT)
         except upstream_module.Broken as error:
-            return self._lose_broken(error)
+            return self._report_broken(error)
         self._record_version(head.version)
-        self._record_words(head)
+        self._record_notices(head)
         if head.not_run:
             return await self._take_rejection(head)
-        if not is_answer_to(head, self._progress.call.name):
-            return self._lose(
+        if not is_answer_to(head, self._state.call.name):
+            return self._report_lost(
                 'not the answer to this request', outcomes.Cause.MALFORMED
             )
         try:
-            async with patience.Limit(self._find_left()):
+            async with patience.Limit(self._get_remaining_s()):
                 if is_success(head):
-                    return await self._pass_on(head)
+                    return await self._forward(head)
                 return await self._take_failure(head)
         except TimeoutError:
-            # The caller's time is over; that tells nothing of the target.
+            # The caller's deadline has passed, which isn't the target's fault.
             return outcomes.Lost('time_over', outcomes.Cause.TIME_OVER)
         except upstream_module.Broken as error:
-            return self._lose_broken(error)
-        except stream_module.Endless as error:
-            return self._lose(str(error), outcomes.Cause.MALFORMED)
+            return self._report_broken(error)
+        except stream_module.EventTooLong as error:
+            return self._report_lost(str(error), outcomes.Cause.MALFORMED)
 
-    def _find_patience(self):
-        left = self._progress.find_left(self._hub.clock())
-        if not self._progress.may_send_again():
+    def _compute_timeout(self):
+        left = self._state.get_time_left(self._hub.clock())
+        if not self._state.may_send_again():
             return left
-        aim = self._progress.work.route.target_latency_s
-        usual = max(aim * PATIENCE_RATIO, LEAST_PATIENCE_S)
-        # Where all targets are busy another one would not be quicker.
-        return min(left, usual + self._plan.expected_s * PATIENCE_RATIO)
+        objective_s = self._state.work.route.target_latency_s
+        timeout_s = max(objective_s * TIMEOUT_RATIO, MIN_TIMEOUT_S)
+        # The expected latency counts, too: where all targets are busy,
+        # another one would not answer sooner.
+        return min(left, timeout_s + self._plan.expected_s * TIMEOUT_RATIO)
 
-    def _find_left(self):
-        """Give the seconds until the end of the request's time."""
-        return self._progress.ends - self._hub.clock()
+    def _get_remaining_s(self):
+        """Return the seconds until the request's deadline."""
+        return self._state.deadline - self._hub.clock()
 
     async def _take_rejection(self, head):
         name = self._plan.entry.name
@@ -230,13 +232,14 @@
             and head.target
             and head.target != self._plan.entry.target
         ):
-            # Another target has the address now: this one is gone.
+            # Another target has taken over the address: this one is gone.
             self._view.fleet.drop(name, self._hub.clock(), False)
         elif not head.words.is_wish:
-            # Who asks for less and turns away what is more is not sick.
-            self._note_loss(certain=True)
+            # A target that asks for fewer requests and rejects the surplus
+            # is healthy; any other rejection counts as a failure.
+            self._record_loss(certain=True)
         try:
-            async with patience.Limit(REJECTION_S):
+            async with patience.Limit(REJECTION_READ_S):
                 while await self._exchange.read_data():
                     pass
                 self._exchange.release()
@@ -249,34 +252,35 @@
         while data := await self._exchange.read_data():
             body += data
         self._exchange.release()
-        wait = self._hub.timer.measure_run(self._sent)
-        # Who asks for rest is short of room, and has said for how long.
+        wait = self._hub.timer.measure_run(self._sent_at)
+        # A target that asks for a back-off lacks free capacity and has said
+        # for how long: that is no failure.
         failed = head.status >= 500 and not head.words.asks_rest
         self._view.record_answer(self._plan, wait, failed)
         return outcomes.Failed(head, bytes(body))
 
-    async def _pass_on(self, head):
-        if self._progress.work.route.kind == routes.STREAM:
-            return await self._pass_stream(head)
+    async def _forward(self, head):
+        if self._state.work.route.kind == routes.STREAM:
+            return await self._forward_stream(head)
         body = bytearray()
-        while len(body) <= MOST_HELD:
+        while len(body) <= MAX_HELD_BYTES:
             data = await self._exchange.read_data()
             if not data:
-                return await self._pass_whole(head, bytes(body))
+                return await self._forward_complete(head, bytes(body))
             body += data
-        return await self._pass_long(head, bytes(body))
+        return await self._forward_long(head, bytes(body))
 
-    async def _pass_whole(self, head, body):
+    async def _forward_complete(self, head, body):
         self._record_first()
         self._exchange.release()
         rows = answers.relay_headers(head)
-        await self._progress.reply.send_whole(head.status, rows, body)
+        await self._state.reply.send_complete(head.status, rows, body)
         return outcomes.Done(head.status)
 
-    async def _pass_long(self, head, body):
-        """Pass on an answer of which `body` is the beginning."""
+    async def _forward_long(self, head, body):
+        """Forward an answer of which `body` is the beginning."""
         self._record_first()
-        reply = self._progress.reply
+        reply = self._state.reply
         await reply.start(head.status, answers.relay_headers(head), body)
         while data := await self._exchange.read_data():
             await reply.send_data(data)
@@ -284,23 +288,23 @@
         await reply.finish()
         return outcomes.Done(head.status)
 
-    async def _pass_stream(self, head):
+    async def _forward_stream(self, head):
         stream, name = self._open_stream(head), self._plan.entry.name
-        pause = STREAM_PAUSE_S if self._progress.may_send_again() else None
+        pause = MAX_STREAM_PAUSE_S if self._state.may_send_again() else None
         while True:
             try:
                 async with patience.Limit(pause):
                     data = await self._exchange.read_data()
             except TimeoutError:
-                return self._lose('paused', outcomes.Cause.PAUSED)
+                return self._report_lost('paused', outcomes.Cause.PAUSED)
             if not data:
                 break
             self._view.loads.record_heard(name, self._hub.clock())
             self._record_version(await stream.take(data))
-            if stream.events and not stream.noted:
-                stream.noted = True
+            if stream.any_sent and not stream.first_recorded:
+                stream.first_recorded = True
                 self._record_first()
-        if not stream.is_whole():
+        if not stream.is_complete():
             return outcomes.Lost(
                 'ended within an event', outcomes.Cause.MALFORMED
             )
@@ -309,59 +313,61 @@
         return outcomes.Done(head.status)
 
     def _open_stream(self, head):
-        """Begin the caller's stream, or go on with the one it has."""
-        progress = self._progress
-        if progress.stream is None:
+        """Return the caller's stream; begin it if this is the first answer."""
+        state = self._state
+        if state.stream is None:
             rows = answers.relay_headers(head)
-            progress.stream = stream_module.Stream(
-                progress.reply, head.status, rows
-            )
-        progress.stream.restart()
-        return progress.stream
+            state.stream = stream_module.Stream(state.reply, head.status, rows)
+        state.stream.restart()
+        return state.stream
 
-    def _lose(self, reason, cause):
-        """Give the outcome of an answer that the target did not finish."""
-        self._note_loss(certain=False)
+    def _report_lost(self, reason, cause):
+        """Count a loss for the target and return the outcome Lost."""
+        self._record_loss(certain=False)
         return outcomes.Lost(reason, cause)
 
-    def _lose_broken(self, error):
-        """Give the outcome of a broken exchange; no other uses a dead path."""
+    def _report_broken(self, error):
+        """Return the outcome of a broken exchange.
+
+        If the path to the target is dead, its idle connections are closed
+        and the target is probed, so that no other request uses the path.
+        """
         if error.silent:
             entry = self._plan.entry
             self._hub.upstream.drop(entry.address)
             self._hub.prober.record_failed(entry.name, str(error))
-            return self._lose(str(error), outcomes.Cause.DEAD_PATH)
-        if self._exchange.is_ended:
-            return self._lose(str(error), outcomes.Cause.CLOSED)
-        return self._lose(str(error), outcomes.Cause.MALFORMED)
+            return self._report_lost(str(error), outcomes.Cause.DEAD_PATH)
+        if self._exchange.is_closed:
+            return self._report_lost(str(error), outcomes.Cause.CLOSED)
+        return self._report_lost(str(error), outcomes.Cause.MALFORMED)
 
-    def _note_loss(self, certain):
+    def _record_loss(self, certain):
         name = self._plan.entry.name
         self._view.record_loss(name, self._hub.clock(), certain)
 
     def _record_first(self):
         now = self._hub.clock()
-        self._view.record_first(self._plan, self._progress.work, now)
-        wait_s = self._hub.timer.measure_run(self._sent)
+        self._view.record_first(self._plan, self._state.work, now)
+        wait_s = self._hub.timer.measure_run(self._sent_at)
         self._view.record_answer(self._plan, wait_s, False)
-        self._progress.record_first(now)
+        self._state.record_first(now)
 
-    def _record_words(self, head):
+    def _record_notices(self, head):
         if head.status == answers.MISDIRECTED:
-            # Another target has the address now.
+            # The answer comes from another target, which has the address now.
             return
-        answered = is_answer_to(head, self._progress.call.name)
+        answered = is_answer_to(head, self._state.call.name)
         if not answered and not head.not_run:
             return
-        # Only a signed success without a limit tells that there is none.
+        # A missing limit means "no limit" only in a signed success.
         certain = answered and is_success(head)
         name = self._plan.entry.name
-        self._hub.hearing.take(name, head.words, self._sent, certain)
+        self._hub.hearing.take(name, head.words, self._sent_at, certain)
         if answered and not head.words.asks_rest:
-            self._view.bars.rests.record_answered(name, self._sent)
+            self._view.bars.rests.record_answered(name, self._sent_at)
 
     def _record_version(self, version):
-        prompt = self._progress.work.prompt
+        prompt = self._state.work.prompt
         if version is None or prompt is None:
             return
         name = self._plan.entry.name
@@ -369,22 +375,24 @@
 
 
 def is_proved(view, now):
-    """Tell whether the table in force may be used for requests at `now`.
+    """Return whether the table in force may be used for requests at `now`.
 
-    One without keys has nothing in it that could have been taken away.
+    A table without keys holds nothing that may have been revoked, so that
+    it needs no recent confirmation by the platform's store.
     """
     return not view.table.keyed or view.proof.is_fresh(now)
 
 
 def is_success(head):
-    """Tell whether an answer says that the request was served."""
+    """Return whether the status of an answer is a success (2xx)."""
     return 200 <= head.status < 300
 
 
 def is_answer_to(head, name):
-    """Tell whether an answer belongs to the request of this name.
+    """Return whether an answer belongs to the request of this id.
 
-    One that looks like a success has to be signed, and as it was made.
+    A success must also be signed by the target, and its body must be as the
+    target made it, without a content coding.
     """
     if head.name != name:
         return False
@@ -394,7 +402,7 @@
 
 
 def describe_plan(plan, table):
-    """Give what decided a choice, for the log."""
+    """Return the figures that decided the choice of a target, for the log."""
     return {
         'target': plan.entry.name,
         'expected_s': round(plan.expected_s, 4),
--- /dev/null
+++ b/landingspool/gateway/connection.py
@@ -0,0 +1,142 @@
+"""One buffered TCP connection to a caller or a target, read by one task.
+
+An end of file (FIN) is told apart from a reset: the first may complete an
+answer that has no length, the second never does.  A close by the peer is
+reported at once through a callback, also while nobody reads.
+"""
+
+import asyncio
+
+# Unread bytes in the buffer above which reading from the socket pauses.
+MAX_UNREAD_BYTES = 256 * 1024
+
+
+class PeerSilent(ConnectionResetError):
+    """The kernel dropped the connection, since its peer stayed silent."""
+
+
+class Connection(asyncio.Protocol):
+    """Buffers received bytes and wakes the one task that reads them.
+
+    Parameters
+    ----------
+    on_connected : callable, optional
+        Called with this Connection once it is connected.
+
+    Attributes
+    ----------
+    closed : bool
+        Whether the peer has closed or reset it, or it was closed here.
+    on_close : callable or None
+        Called once, when `closed` becomes true.
+    """
+
+    def __init__(self, on_connected=None):
+        self._on_connected = on_connected
+        self._transport = None
+        self._buffer = bytearray()
+        self._readable = asyncio.Event()
+        self._writable = asyncio.Event()
+        self._writable.set()
+        self._error = None
+        self.closed = False
+        self.on_close = None
+
+    def connection_made(self, transport):
+        """Store the transport (asyncio)."""
+        self._transport = transport
+        if self._on_connected is not None:
+            self._on_connected(self)
+
+    def data_received(self, data):
+        """Buffer received bytes (asyncio)."""
+        self._buffer += data
+        if len(self._buffer) > MAX_UNREAD_BYTES:
+            self._transport.pause_reading()
+        self._readable.set()
+
+    def eof_received(self):
+        """Record the end of file sent by the peer (asyncio)."""
+        self._mark_closed(None)
+        # True would keep the connection half open, which no side needs.
+        return False
+
+    def connection_lost(self, error):
+        """Record the end of the connection (asyncio)."""
+        self._mark_closed(error)
+        self._writable.set()
+
+    def pause_writing(self):
+        """Block writers in `drain` (asyncio)."""
+        self._writable.clear()
+
+    def resume_writing(self):
+        """Unblock writers (asyncio)."""
+        self._writable.set()
+
+    @property
+    def is_idle(self):
+        """Whether the connection is open and has no unread bytes."""
+        return not self.closed and not self._buffer
+
+    @property
+    def is_flushed(self):
+        """Whether the kernel has taken all written bytes."""
+        return self._transport.get_write_buffer_size() == 0
+
+    async def read(self):
+        """Return the bytes received, at least one; b'' at the end of file.
+
+        Raises
+        ------
+        ConnectionError
+            If the connection was reset; PeerSilent if the peer timed out.
+        """
+        while not self._buffer and not self.closed:
+            self._readable.clear()
+            await self._readable.wait()
+        if self._buffer:
+            return self._take_buffer()
+        if isinstance(self._error, TimeoutError):
+            raise PeerSilent(str(self._error))
+        if self._error is not None:
+            raise ConnectionResetError(str(self._error))
+        return b''
+
+    def push_back(self, data):
+        """Put bytes back in front of the unread ones."""
+        self._buffer[:0] = data
+
+    def write(self, data):
+        """Send bytes; they are dropped if the connection is closing."""
+        if not self._transport.is_closing():
+            self._transport.write(data)
+
+    async def drain(self):
+        """Wait until the send buffer has space again."""
+        if not self._writable.is_set():
+            await self._writable.wait()
+
+    def close(self):
+        """Close the connection after the written bytes are sent."""
+        self._transport.close()
+
+    def abort(self):
+        """Reset the connection."""
+        self._transport.abort()
+
+    def _take_buffer(self):
+        data = bytes(self._buffer)
+        self._buffer.clear()
+        if not self._transport.is_closing():
+            self._transport.resume_reading()
+        return data
+
+    def _mark_closed(self, error):
+        if not self.closed:
+            self._error = error
+        self.closed = True
+        self._readable.set()
+        if self.on_close is not None:
+            call, self.on_close = self.on_close, None
+            call()
--- a/landingspool/gateway/deployment.py
+++ b/landingspool/gateway/deployment.py
@@ -1,4 +1,4 @@
-"""Where a box runs: its addresses, its peers, the bounds it has to keep."""
+"""Settings of one gateway box: addresses, peers, resources and bounds."""
 
 import typing
 
@@ -6,29 +6,32 @@
 
 
 class Bounds(typing.NamedTuple):
-    """Times in seconds and shares that the deployment sets.
+    """Bounds that the deployment sets; times are in seconds.
 
     Attributes
     ----------
     drain_s : float
-        From a target's leaving until nothing new may reach it.
+        From the moment a target leaves until nothing new may reach it.
     grace_s : float
         From a planned stop until the process is killed.
     table_s : float
-        From publishing a table until every box goes by it.
+        From the publication of a table until every box uses it.
     key_s : float
-        From taking a key away until no request with it may run.
+        From the revocation of a key until no request with it may run.
     keys_fail_closed : bool
-        Whether keys stop working while nobody can tell if they still hold.
+        Whether keys are refused while their validity can't be confirmed.
     lease_s : float
-        For which the right to give orders is good.
+        Validity of the lease for sending orders to targets.
     version_s : float
-        From naming new weights until no request may begin on older ones.
+        From the publication of new weights until no request may begin on
+        older ones.
     retry_ratio, retry_slack, retry_window_s : float
-        Repeats that all boxes together may send in a window.
+        Retry budget of all boxes together: in a window of `retry_window_s`
+        they may send again `retry_ratio` of the requests and `retry_slack`
+        more.
     cold_over, cold_slack : float
-        All boxes together may send a cold target so many times the requests
-        a second that it bears, and so many more.
+        Requests a second that all boxes together may send a cold target:
+        `cold_over` times its capacity while cold, and `cold_slack` more.
     """
 
     drain_s: float = 2.0
@@ -46,24 +49,33 @@
 
 
 class Deployment(typing.NamedTuple):
-    """One box's place.
+    """Settings of one box.
 
     Attributes
     ----------
+    box : str
+        Name of the box.
+    domain : str
+        Its failure domain.
     callers, readiness, links : http.Address
-        Where callers, the balancer and the other boxes reach this box.
+        Addresses for callers, the balancer and the peers; `links` may be
+        None: the box has no peers.
     seeds : tuple of http.Address
-        Some boxes' `links`, perhaps stale.
+        The `links` of some peers, possibly stale.
     store : http.Address
         The platform's store.
-    memory_bytes, descriptors : int
+    bounds : Bounds
+    memory_bytes : int
+        Memory that the process may use.
+    descriptors : int
+        File descriptors that the process may use.
     link_mbps : float
-        Width of the box's link; 0 where nothing is said.
-    regions : dict of str to str
-        The region of each failure domain.
+        Bandwidth of the box's network link, Mbit/s; 0 if unknown.
     first_start : bool
-        Whether the whole system starts for the first time, so that no box
+        Whether the whole system starts for the first time, so that no peer
         can be known yet.
+    regions : dict of str to str
+        The region of each failure domain.
     """
 
     box: str
--- a/landingspool/gateway/heads.py
+++ b/landingspool/gateway/heads.py
@@ -1,9 +1,9 @@
-"""Reads requests strictly: one framing each, or none is served.
+"""Read requests of callers strictly, against request smuggling.
 
-h11 accepts some heads that other servers read otherwise: bare line feeds,
-folded lines, a length beside chunks.  A request that two servers may read
-in two ways can smuggle another one past the first, so those are refused
-before h11 sees them.
+h11 accepts some heads that other servers interpret differently: bare line
+feeds, folded lines, a length beside chunks.  A request that two servers
+interpret in two ways can carry a second one past the first server.  Such
+requests are refused before h11 reads them.
 """
 
 import re
@@ -13,51 +13,52 @@
 from landingspool import http
 from landingspool import patience
 
-END = b'\r\n\r\n'
+HEAD_END = b'\r\n\r\n'
 # A line feed without a carriage return, or the reverse.
-BARE = re.compile(rb'(?<!\r)\n|\r(?!\n)')
-FOLDED = re.compile(rb'\r\n[ \t]')
+BARE_LINE_END = re.compile(rb'(?<!\r)\n|\r(?!\n)')
+FOLDED_LINE = re.compile(rb'\r\n[ \t]')
 DIGITS = re.compile(rb'[0-9]{1,18}')
-LENGTHS = re.compile(rb'\r\ncontent-length[ \t]*:([^\r\n]*)', re.I)
-CODINGS = re.compile(rb'\r\ntransfer-encoding[ \t]*:([^\r\n]*)', re.I)
+CONTENT_LENGTHS = re.compile(rb'\r\ncontent-length[ \t]*:([^\r\n]*)', re.I)
+TRANSFER_CODINGS = re.compile(rb'\r\ntransfer-encoding[ \t]*:([^\r\n]*)', re.I)
 
 
-async def read_head(wire, most):
-    """Read the bytes of one head.
+async def read_head(connection, max_bytes):
+    """Read the bytes of one request head.
 
     Parameters
     ----------
-    wire : wire.Wire
-    most : int
-        Bytes that it may have.
+    connection : connection.Connection
+    max_bytes : int
+        Size limit of the head.
 
     Returns
     -------
     bytes or None
-        None where the peer ended before it began one.
+        None if the peer closed the connection before a head began.
 
     Raises
     ------
     http.BadRequest
+        With 400 for a head that was cut off, 431 for one that is too large.
     """
-    held = bytearray()
+    received = bytearray()
     while True:
-        data = await wire.read()
+        data = await connection.read()
         if not data:
-            if held.strip():
+            if received.strip():
                 raise http.BadRequest(400, 'the head was cut off')
             return None
-        held += data
-        end = held.find(END)
-        if end > most or (end < 0 and len(held) > most):
-            raise http.BadRequest(431, f'head over {most} bytes')
+        received += data
+        end = received.find(HEAD_END)
+        if end > max_bytes or (end < 0 and len(received) > max_bytes):
+            raise http.BadRequest(431, f'head over {max_bytes} bytes')
         if end >= 0:
-            wire.unread(bytes(held[end + len(END) :]))
-            return bytes(held[: end + len(END)])
+            connection.push_back(bytes(received[end + len(HEAD_END) :]))
+            return bytes(received[: end + len(HEAD_END)])
 
 
 def parse_head(data):
-    """Parse the bytes of one head.
+    """Parse the bytes of one request head.
 
     Returns
     -------
@@ -73,30 +74,37 @@
     Traceback (most recent call last):
     landingspool.http.BadRequest: a bare line end
     """
-    lines = data[: -len(END)]
-    if BARE.search(lines):
+    lines = data[: -len(HEAD_END)]
+    if BARE_LINE_END.search(lines):
         raise http.BadRequest(400, 'a bare line end')
-    if FOLDED.search(data):
+    if FOLDED_LINE.search(data):
         raise http.BadRequest(400, 'a folded line')
-    conn = h11.Connection(h11.SERVER, len(data) + 1)
+    codec = h11.Connection(h11.SERVER, len(data) + 1)
     try:
-        conn.receive_data(data)
-        request = conn.next_event()
+        codec.receive_data(data)
+        request = codec.next_event()
     except h11.RemoteProtocolError as error:
         raise http.BadRequest(400, str(error)) from error
     if not isinstance(request, h11.Request):
         raise http.BadRequest(400, 'no request')
     check_framing(data, request.http_version)
-    return conn, request
+    return codec, request
 
 
 def check_framing(data, version):
-    """Refuse a head that doesn't say in exactly one way how it ends.
+    """Refuse a head that doesn't frame its body in exactly one way.
 
-    It looks at the bytes, since h11 folds repeated lengths into one.
+    It checks the bytes, since h11 merges repeated Content-Length headers.
+
+    Raises
+    ------
+    http.BadRequest
+        With 400.
     """
-    lengths = [value.strip() for value in LENGTHS.findall(data)]
-    codings = [value.strip().lower() for value in CODINGS.findall(data)]
+    lengths = [value.strip() for value in CONTENT_LENGTHS.findall(data)]
+    codings = [
+        value.strip().lower() for value in TRANSFER_CODINGS.findall(data)
+    ]
     if len(lengths) > 1 or len(codings) > 1 or (lengths and codings):
         raise http.BadRequest(400, 'more than one framing')
     if lengths and not DIGITS.fullmatch(lengths[0]):
@@ -107,46 +115,52 @@
         raise http.BadRequest(400, 'chunks before HTTP/1.1')
 
 
-async def read_body(wire, conn, most):
+async def read_body(connection, codec, max_bytes):
     """Read the body that the head announced.
 
     Raises
     ------
     http.BadRequest
-        With 413 for one over `most` bytes.
+        With 413 for a body of more than `max_bytes` bytes.
     """
     body = bytearray()
-    if conn.they_are_waiting_for_100_continue:
-        wire.write(
-            conn.send(h11.InformationalResponse(status_code=100, headers=[]))
+    if codec.they_are_waiting_for_100_continue:
+        connection.write(
+            codec.send(h11.InformationalResponse(status_code=100, headers=[]))
         )
     while True:
         try:
-            event = conn.next_event()
+            event = codec.next_event()
         except h11.RemoteProtocolError as error:
             raise http.BadRequest(400, str(error)) from error
         if event is h11.NEED_DATA:
-            conn.receive_data(await wire.read())
+            codec.receive_data(await connection.read())
         elif isinstance(event, h11.Data):
             body += event.data
-            if len(body) > most:
-                raise http.BadRequest(413, f'body over {most} bytes')
+            if len(body) > max_bytes:
+                raise http.BadRequest(413, f'body over {max_bytes} bytes')
         elif isinstance(event, h11.EndOfMessage):
-            wire.unread(conn.trailing_data[0])
+            connection.push_back(codec.trailing_data[0])
             return bytes(body)
         else:
             raise http.BadRequest(400, 'the request ended too early')
 
 
-async def read_request(wire, limits):
-    """Read one whole request in the time that a caller has.
+async def read_request(connection, limits):
+    """Read one complete request within the time limits for callers.
 
-    The wait for its first byte is bound by the idle time, the rest by the
-    time for a head, which the body gets once more.
+    The wait for the first byte is limited by the idle time-out.  The head
+    and the body are limited by the header time-out, each by itself.
+
+    Parameters
+    ----------
+    connection : connection.Connection
+    limits : routes.Limits
 
     Returns
     -------
-    tuple of (h11.Connection, h11.Request, bytes), or None at the end
+    tuple of (h11.Connection, h11.Request, bytes) or None
+        None if the connection is closed or was idle for too long.
 
     Raises
     ------
@@ -154,20 +168,20 @@
     """
     try:
         async with patience.Limit(limits.idle_s):
-            first = await wire.read()
+            first = await connection.read()
     except TimeoutError:
         return None
     if not first:
         return None
-    wire.unread(first)
+    connection.push_back(first)
     try:
         async with patience.Limit(limits.header_s):
-            data = await read_head(wire, limits.header_bytes)
+            data = await read_head(connection, limits.header_bytes)
         if data is None:
             return None
-        conn, request = parse_head(data)
+        codec, request = parse_head(data)
         async with patience.Limit(limits.header_s):
-            body = await read_body(wire, conn, limits.body_bytes)
+            body = await read_body(connection, codec, limits.body_bytes)
     except TimeoutError:
         raise http.BadRequest(408, 'the request took too long') from None
-    return conn, request, body
+    return codec, request, body
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -1,4 +1,4 @@
-"""All parts of one gateway box, put together."""
+"""Create, connect, run and stop all parts of one gateway box."""
 
 import asyncio
 import contextlib
@@ -11,11 +11,11 @@
 from landingspool.decisions import timing
 from landingspool import events
 from landingspool.gateway import cachewatch
-from landingspool.gateway import figures
 from landingspool.gateway import following
 from landingspool.gateway import hearing
 from landingspool.gateway import listener
 from landingspool.gateway import marks
+from landingspool.gateway import metrics
 from landingspool.gateway import ordering
 from landingspool.gateway import peering
 from landingspool.gateway import prober
@@ -34,38 +34,43 @@
 from landingspool import timer as timer_module
 from landingspool import uptime
 
-# Period of the beat by which a freeze is noticed, seconds.
-BEAT_S = 0.1
-SWEEP_S = 1.0
-# Period of the line with this box's own figures, seconds.
-FIGURES_S = 10.0
-# Events kept in memory: some seconds of one box, two megabytes.
+# Period of the heartbeat that shows that this process isn't stalled.
+HEARTBEAT_S = 0.1
+SWEEP_PERIOD_S = 1.0
+# Period of the `figures` log event.
+METRICS_LOG_PERIOD_S = 10.0
+# Log events kept in memory: those of some seconds, two megabytes.
 RING_EVENTS = 1024
-# Address of the metrics: the deploy file names the same port.
+# Port and path of the metrics; the deploy file names the same port.
 METRICS_PORT = 9464
 METRICS_PATH = '/metrics'
-# Seconds for which a stopping box takes new connections: the balancer asks
-# each second and takes a box out after two misses.
-LEAVE_S = 2.6
-# Seconds before the platform kills the process at which it ends by itself.
-END_MARGIN_S = 0.8
-# Descriptors kept for the connections to targets, store and boxes.
-OWN_DESCRIPTORS = 1200
-LEAST_CONNECTIONS = 256
-# Innermost frames that a fault's log line holds.
+# Seconds for which a stopping box accepts new connections.  The balancer
+# checks readiness each second and removes a box after two failed checks.
+STOP_NOTICE_S = 2.6
+# Seconds before the platform kills the process at which it exits by itself.
+EXIT_MARGIN_S = 0.8
+# File descriptors reserved for connections to targets, store and boxes.
+RESERVED_DESCRIPTORS = 1200
+# Callers' connections that are accepted even if descriptors are scarce.
+MIN_CONNECTIONS = 256
+# Innermost stack frames in the log line of a fault.
 TRACE_FRAMES = 6
-# What callers may send before a table is known.
+# Limits for callers' requests before a table is known.
 DEFAULT_LIMITS = routes.Limits()
 
 
 class Hub:
-    """One box of the gateway.
+    """One box of the gateway; its parts reach each other through it.
 
     Parameters
     ----------
     place : deployment.Deployment
     seed : int
-        Of the choices that are left to chance.
+        Of the random number generator.
+    clock : callable, optional
+        Returns the boot-time clock, seconds.
+    wall : callable, optional
+        Returns the time of day, seconds since 1970.
     """
 
     def __init__(self, place, seed, clock=uptime.read, wall=time.time):
@@ -76,7 +81,7 @@
         self.recorder = events.Recorder(
             place.box, wall, RING_EVENTS, events.format_json
         )
-        self.metrics = figures.Figures()
+        self.metrics = metrics.Metrics()
         self.view = view_module.View(
             place.domain, place.bounds, seed, place.regions
         )
@@ -86,11 +91,12 @@
         self.hearing = hearing.Hearing(self)
         self.runners = runners.Runners(self.client, self.hearing)
         self.upstream = upstream.Upstream(self.metrics, clock)
-        most = max(place.descriptors - OWN_DESCRIPTORS, LEAST_CONNECTIONS)
-        self.listener = listener.Listener(self._handle, self._limits, most)
-        # One for the balancer and one for engineers, at two addresses.
-        self._readiness_server = http.Server(self._answer_side)
-        self._metrics_server = http.Server(self._answer_side)
+        most = max(place.descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTIONS)
+        self.listener = listener.Listener(self._handle, self._get_limits, most)
+        # Readiness for the balancer and metrics for engineers are at two
+        # addresses.
+        self._readiness_server = http.Server(self._answer_side_request)
+        self._metrics_server = http.Server(self._answer_side_request)
         self.state = state.State(self)
         self.sources = sources.Sources(self)
         self.offer = sources.Offer(lambda: self.peering.is_cut(), clock)
@@ -104,45 +110,46 @@
         self._stop = asyncio.Event()
 
     async def run(self):
-        """Serve until told to stop, then stop without cutting off."""
+        """Serve until stopped; then finish open requests and exit."""
         await self._readiness_server.start(*self.place.readiness)
         await self._start_metrics()
         await self.listener.start(self.place.callers)
-        self.timer.subscribe_stall(self._resume)
-        self.timer.subscribe(BEAT_S, self._on_beat)
+        self.timer.subscribe_stall(self._on_stall)
+        self.timer.subscribe(HEARTBEAT_S, self._on_heartbeat)
         self.timer.subscribe(prober.LOOK_S, self.prober.look)
-        self.timer.subscribe(SWEEP_S, self._sweep)
-        self.timer.subscribe(FIGURES_S, self._record_figures)
-        self._keep(following.Published(self).run())
-        self._keep(following.Targets(self).run())
+        self.timer.subscribe(SWEEP_PERIOD_S, self._sweep)
+        self.timer.subscribe(METRICS_LOG_PERIOD_S, self._log_metrics)
+        self._spawn(following.Published(self).run())
+        self._spawn(following.Targets(self).run())
         orderer = ordering.Orderer(self)
         self._claims = following.Claims(self, orderer.watch)
-        self._keep(self._claims.run())
-        self._keep(self.marks.run())
-        self._keep(orderer.run())
-        self._keep(self.cachewatch.run())
-        self._keep(sweeper.Sweeper(self).run())
+        self._spawn(self._claims.run())
+        self._spawn(self.marks.run())
+        self._spawn(orderer.run())
+        self._spawn(self.cachewatch.run())
+        self._spawn(sweeper.Sweeper(self).run())
         if self.place.links is not None:
             await self.peering.start()
-            self._keep(self.peering.run())
+            self._spawn(self.peering.run())
         self.recorder.record('started', domain=self.place.domain)
         await self._stop.wait()
-        await self._leave()
+        await self._shut_down()
 
     def stop(self):
         """Begin a planned stop."""
         self._stop.set()
 
-    def _keep(self, work):
+    def _spawn(self, work):
         task = asyncio.ensure_future(work)
-        task.add_done_callback(self._record_end)
+        task.add_done_callback(self._handle_task_end)
         self._tasks.append(task)
 
-    def _record_end(self, task):
+    def _handle_task_end(self, task):
         if task.cancelled() or task.exception() is None:
             return
         self.recorder.record('fault', reason=repr(task.exception()))
-        # A box that no longer follows is worse than one that starts anew.
+        # A box without one of its tasks would serve on stale state, which is
+        # worse than a restart.
         self.stop()
 
     async def _handle(self, request, body, reply):
@@ -154,8 +161,8 @@
         try:
             await relay.Relay(self, call, body, reply).run()
         except Exception:
-            # Whatever it is, its caller must not wait for nothing, and the
-            # box serves the others.
+            # An unexpected error ends only this request: its caller gets an
+            # answer at once, and the box continues to serve.
             self.metrics.faults.inc()
             self.recorder.record(
                 'request_fault',
@@ -164,19 +171,19 @@
             )
             await reply.fail()
 
-    def _limits(self):
+    def _get_limits(self):
         table = self.view.table
         return DEFAULT_LIMITS if table is None else table.limits
 
-    def _resume(self, stall):
-        """Go on after a time in which this process did not run."""
+    def _on_stall(self, stall):
+        """Correct what is known for a stall of this process."""
         self.recorder.record('frozen', seconds=round(stall.seconds, 2))
         self.beat.record(stall.now)
         absence.exclude_stall(self.view, stall.seconds, stall.now)
         self.sources.exclude_stall(stall.seconds)
         self.resumption.begin(stall)
 
-    def _on_beat(self, tick):
+    def _on_heartbeat(self, tick):
         self.beat.record(tick.now)
         for name in self.view.fleet.tick(tick.now):
             self.recorder.record('target_down', target=name, sure=True)
@@ -193,9 +200,11 @@
             bars.evacuation.describe(tick.now),
             self.view.partition.is_on,
         )
-        self.metrics.barred.set(len(self.view.endings.list_barred(tick.now)))
+        self.metrics.quarantined.set(
+            len(self.view.endings.list_barred(tick.now))
+        )
 
-    def _record_figures(self, tick):
+    def _log_metrics(self, tick):
         self.recorder.record(
             'figures',
             calls=dict(self.store.calls),
@@ -213,7 +222,7 @@
         )
 
     def _describe_stores(self, now):
-        """Give the tokens and the age of what is known of each store."""
+        """Return each store's cached tokens and the age of its index."""
         table = self.view.table
         found = {}
         for address in table.keepers if table is not None else ():
@@ -223,7 +232,7 @@
                 found[address] = [index.used, age_s]
         return found
 
-    async def _answer_side(self, request, exchange):
+    async def _answer_side_request(self, request, exchange):
         if request.path == METRICS_PATH:
             await exchange.send_body(
                 200, self.metrics.render(), 'text/plain; version=0.0.4'
@@ -233,8 +242,9 @@
         await exchange.send_json(200 if ready else 503, {'ready': ready})
 
     def _is_ready(self):
-        # Not before it knows under which requests targets ended, where that
-        # can be read: with all boxes anew, each would begin to count again.
+        # A box isn't ready before it has tried to read which requests have
+        # crashed targets.  Otherwise, when all boxes restart, each of them
+        # would count the crashes of such a request from zero.
         known = self._claims is not None and self._claims.was_tried
         serves = self.view.table is not None and known
         return serves and not self._stop.is_set()
@@ -245,17 +255,17 @@
                 self.place.callers.host, METRICS_PORT
             )
         except OSError as error:
-            # The figures are for engineers; requests go on without them.
+            # Metrics are for engineers only; requests are served without.
             self.recorder.record('no_metrics', reason=str(error))
 
-    async def _leave(self):
+    async def _shut_down(self):
         self.recorder.record('draining', open=self.listener.count_busy())
         began = self.clock()
-        ends = began + self.place.bounds.grace_s - END_MARGIN_S
+        deadline = began + self.place.bounds.grace_s - EXIT_MARGIN_S
         self.listener.stop()
-        self._keep(self.peering.leave())
-        await asyncio.sleep(min(LEAVE_S, self.place.bounds.grace_s / 2))
-        await self.listener.close(max(ends - self.clock(), 0.1))
+        self._spawn(self.peering.leave())
+        await asyncio.sleep(min(STOP_NOTICE_S, self.place.bounds.grace_s / 2))
+        await self.listener.close(max(deadline - self.clock(), 0.1))
         for task in self._tasks:
             task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
--- a/landingspool/gateway/listener.py
+++ b/landingspool/gateway/listener.py
@@ -1,17 +1,17 @@
-"""The callers' side: connections, one request after another on each."""
+"""HTTP/1.1 server for callers: one request after another per connection."""
 
 import asyncio
 import json
 
 import h11
 
+from landingspool.gateway import connection as connection_module
 from landingspool.gateway import heads
-from landingspool.gateway import wire as wire_module
 from landingspool import http
 
 BACKLOG = 512
-# How often a planned stop looks whether connections are still open, seconds.
-POLL_S = 0.05
+# Seconds in which cancelled connections may finish when the listener closes.
+CANCEL_TIMEOUT_S = 0.05
 REASONS = {
     400: b'Bad Request',
     401: b'Unauthorized',
@@ -31,60 +31,75 @@
 
     Parameters
     ----------
-    conn : h11.Connection
+    codec : h11.Connection
         In the state after the request was read.
-    wire : wire.Wire
+    connection : connection.Connection
     is_closing : callable
-        Tells whether the caller should be told to connect anew.
+        Returns whether the answer should have ``Connection: close``.
+
+    Attributes
+    ----------
+    started : bool
+        Whether the head of the answer was sent.
+    broken : bool
+        Whether the answer was broken off.
     """
 
-    def __init__(self, conn, wire, is_closing):
-        self._conn = conn
-        self._wire = wire
+    def __init__(self, codec, connection, is_closing):
+        self._codec = codec
+        self._connection = connection
         self._is_closing = is_closing
         self.started = False
         self.broken = False
 
-    async def send_whole(self, status, headers, body):
-        """Send a whole answer."""
+    async def send_complete(self, status, headers, body):
+        """Send a complete answer with a length."""
         framed = [*headers, (b'content-length', str(len(body)).encode())]
         data = self._begin(status, framed)
-        data += self._conn.send(h11.Data(data=body))
-        data += self._conn.send(h11.EndOfMessage())
-        self._wire.write(data)
-        await self._wire.drain()
+        data += self._codec.send(h11.Data(data=body))
+        data += self._codec.send(h11.EndOfMessage())
+        self._connection.write(data)
+        await self._connection.drain()
 
     async def send_error(self, status, reason, retry_after=None):
-        """Send an answer of our own."""
+        """Send an error of this box as JSON.
+
+        Parameters
+        ----------
+        status : int
+        reason : str
+        retry_after : float, optional
+            Seconds for the Retry-After header.
+        """
         rows = [(b'content-type', b'application/json')]
         if retry_after is not None:
             rows.append((b'retry-after', f'{retry_after:.2f}'.encode()))
         body = json.dumps({'error': reason}).encode()
-        await self.send_whole(status, rows, body)
+        await self.send_complete(status, rows, body)
 
     async def start(self, status, headers, data):
-        """Begin an answer that goes on, with its first bytes."""
+        """Begin an answer of unknown length with its first bytes."""
         head = self._begin(status, headers)
-        self._wire.write(head + self._conn.send(h11.Data(data=data)))
-        await self._wire.drain()
+        self._connection.write(head + self._codec.send(h11.Data(data=data)))
+        await self._connection.drain()
 
     async def send_data(self, data):
-        """Go on with an answer."""
-        self._wire.write(self._conn.send(h11.Data(data=data)))
-        await self._wire.drain()
+        """Send the next bytes of an answer."""
+        self._connection.write(self._codec.send(h11.Data(data=data)))
+        await self._connection.drain()
 
     async def finish(self):
-        """End an answer that is whole."""
-        self._wire.write(self._conn.send(h11.EndOfMessage()))
-        await self._wire.drain()
+        """End a complete answer."""
+        self._connection.write(self._codec.send(h11.EndOfMessage()))
+        await self._connection.drain()
 
     def abort(self):
-        """Break off, so that the answer can't be taken for whole."""
+        """Reset the connection, so that the answer doesn't look complete."""
         self.broken = True
-        self._wire.abort()
+        self._connection.abort()
 
     async def fail(self):
-        """Answer that this side failed, or break off what has begun."""
+        """Send 500, or break off an answer that has been started."""
         if self.started:
             self.abort()
             return
@@ -92,9 +107,9 @@
         await self.send_error(500, 'fault')
 
     @property
-    def may_go_on(self):
-        """Whether the connection can take a next request."""
-        return not self.broken and self._conn.our_state is h11.DONE
+    def is_reusable(self):
+        """Whether the connection can take another request."""
+        return not self.broken and self._codec.our_state is h11.DONE
 
     def _begin(self, status, headers):
         self.started = True
@@ -102,49 +117,54 @@
         if self._is_closing():
             rows.append((b'connection', b'close'))
         reason = REASONS.get(status, b'')
-        return self._conn.send(
+        return self._codec.send(
             h11.Response(status_code=status, headers=rows, reason=reason)
         )
 
 
 class Listener:
-    """Accepts callers' connections.
+    """Accepts connections of callers and reads their requests.
 
     Parameters
     ----------
     handle : callable
         ``async handle(request, body, reply)``: answers one request; it is
-        cancelled when the caller leaves.
+        cancelled when the caller disconnects.
     get_limits : callable
-        Gives the routes.Limits in force.
-    most : int
-        Connections at once.
+        Returns the routes.Limits in force.
+    max_connections : int
+        Concurrent connections; further ones are reset.
+
+    Attributes
+    ----------
+    stopping : bool
+        Whether callers are asked to connect elsewhere.
     """
 
-    def __init__(self, handle, get_limits, most):
+    def __init__(self, handle, get_limits, max_connections):
         self._handle = handle
         self._get_limits = get_limits
-        self._most = most
+        self._max_connections = max_connections
         self._server = None
         self._tasks = {}
         self.stopping = False
 
     async def start(self, address):
-        """Begin to accept."""
+        """Begin to accept connections at a http.Address."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: wire_module.Wire(self._accept),
+            lambda: connection_module.Connection(self._accept),
             address.host,
             address.port,
             backlog=BACKLOG,
         )
 
     def stop(self):
-        """Begin to tell callers to connect elsewhere."""
+        """Close each connection after its next answer from now on."""
         self.stopping = True
 
     async def close(self, seconds):
-        """Close; requests under way get some seconds to end."""
+        """Close idle connections, and the others after `seconds` at most."""
         self._server.close()
         for task, busy in list(self._tasks.items()):
             if not busy:
@@ -154,66 +174,66 @@
         for task in list(self._tasks):
             task.cancel()
         if self._tasks:
-            await asyncio.wait(list(self._tasks), timeout=POLL_S)
+            await asyncio.wait(list(self._tasks), timeout=CANCEL_TIMEOUT_S)
 
     def count_busy(self):
-        """Count the connections with a request under way."""
+        """Return the number of connections with a request in progress."""
         return sum(1 for busy in self._tasks.values() if busy)
 
-    def _accept(self, wire):
-        if len(self._tasks) >= self._most:
-            wire.abort()
+    def _accept(self, connection):
+        if len(self._tasks) >= self._max_connections:
+            connection.abort()
             return
-        task = asyncio.ensure_future(self._serve(wire))
+        task = asyncio.ensure_future(self._serve(connection))
         self._tasks[task] = False
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    async def _serve(self, wire):
+    async def _serve(self, connection):
         try:
-            while await self._serve_one(wire):
+            while await self._serve_one(connection):
                 pass
-            wire.close()
+            connection.close()
         except (OSError, h11.ProtocolError):
-            # The caller broke off, or stopped in the middle of a request.
-            wire.abort()
+            # The caller reset the connection or broke off within a request.
+            connection.abort()
         except asyncio.CancelledError:
-            wire.close()
+            connection.close()
             raise
 
-    async def _serve_one(self, wire):
+    async def _serve_one(self, connection):
         task = asyncio.current_task()
         self._tasks[task] = False
         limits = self._get_limits()
         try:
-            read = await heads.read_request(wire, limits)
+            read = await heads.read_request(connection, limits)
         except http.BadRequest as error:
-            await refuse(wire, error)
+            await refuse(connection, error)
             return False
         if read is None:
             return False
         self._tasks[task] = True
-        conn, request, body = read
-        reply = Reply(conn, wire, lambda: self.stopping)
-        await self._answer(wire, request, body, reply)
-        return reply.may_go_on and not self.stopping
+        codec, request, body = read
+        reply = Reply(codec, connection, lambda: self.stopping)
+        await self._answer(connection, request, body, reply)
+        return reply.is_reusable and not self.stopping
 
-    async def _answer(self, wire, request, body, reply):
+    async def _answer(self, connection, request, body, reply):
         work = asyncio.ensure_future(self._handle(request, body, reply))
-        wire.on_end = work.cancel
+        connection.on_close = work.cancel
         try:
             await work
         except asyncio.CancelledError:
-            if not wire.ended:
-                # This side is closing: the handler is stopped with it.
+            if not connection.closed:
+                # The listener is closing: the handler is cancelled, too.
                 work.cancel()
                 raise
             reply.broken = True
         finally:
-            wire.on_end = None
+            connection.on_close = None
 
 
-async def refuse(wire, error):
-    """Answer what could not be read as a request, and close."""
-    conn = h11.Connection(h11.SERVER)
-    reply = Reply(conn, wire, lambda: True)
+async def refuse(connection, error):
+    """Answer a request that could not be read; its connection is closed."""
+    codec = h11.Connection(h11.SERVER)
+    reply = Reply(codec, connection, lambda: True)
     await reply.send_error(error.status, error.text)
--- a/landingspool/gateway/figures.py
+++ b/landingspool/gateway/metrics.py
@@ -1,145 +1,166 @@
-"""Counters and latency histograms of the gateway."""
+"""Prometheus metrics of the gateway: counters, gauges and histograms."""
 
 import prometheus_client as prometheus
 
-SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0)
+BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0)
 
 
-class Figures:
-    """All figures of one gateway process, in a registry of their own."""
+class Metrics:
+    """All metrics of one gateway process, in a registry of their own."""
 
     def __init__(self):
         self.registry = prometheus.CollectorRegistry()
-        self.answers = self._count(
+        self.answers = self._make_counter(
             'answers', 'Final answers', ('status', 'reason')
         )
-        self.connections = self._count(
+        self.connections = self._make_counter(
             'connections', 'New connections to targets'
         )
-        self.repeats = self._count('repeats', 'Requests sent again')
-        self.budget_refusals = self._count(
+        self.repeats = self._make_counter('repeats', 'Requests sent again')
+        self.budget_refusals = self._make_counter(
             'budget_refusals', 'Repeats that the budget did not allow'
         )
-        self.losses = self._count(
+        self.losses = self._make_counter(
             'losses', 'Tries whose answer did not come whole', ('cause',)
         )
-        self.faults = self._count(
+        self.faults = self._make_counter(
             'faults', 'Requests whose handling raised an error'
         )
-        self.orders = self._count(
+        self.orders = self._make_counter(
             'orders', 'Orders to targets by outcome', ('outcome',)
         )
-        self.cold = self._gauge('cold_targets', 'Targets that count as cold')
-        self.evacuated = self._gauge(
+        self.cold = self._make_gauge(
+            'cold_targets', 'Targets that count as cold'
+        )
+        self.evacuated = self._make_gauge(
             'evacuated_seconds',
             'Since when a failure domain is evacuated',
             ('domain',),
         )
-        self.barred = self._gauge(
+        self.quarantined = self._make_gauge(
             'barred_requests', 'Requests not sent, since targets end by them'
         )
-        self.limited = self._gauge(
+        self.advertised_limits = self._make_gauge(
             'target_limit_per_second',
             'Requests that a target takes from all boxes',
             ('target',),
         )
-        self.limit_ages = self._gauge(
+        self.limit_ages = self._make_gauge(
             'target_limit_age_seconds',
             'Since when the target was last heard to name it',
             ('target',),
         )
-        self.limits_used = self._gauge(
+        self.limits_used = self._make_gauge(
             'target_limit_used_per_second',
             'Requests that this box sent the target in the last window',
             ('target',),
         )
-        self.leaving_ages = self._gauge(
+        self.leaving_ages = self._make_gauge(
             'target_leaving_age_seconds',
             'Since when a target is known to have said that it leaves',
             ('target',),
         )
-        self.rests_left = self._gauge(
+        self.backoffs_left = self._make_gauge(
             'target_rest_left_seconds',
             'For how much longer a target wants nothing of this box',
             ('target',),
         )
-        self.parted = self._gauge(
+        self.partitioned = self._make_gauge(
             'engines_parted', '1 while engines are parted by reading size'
         )
-        self.seconds = self._observe('answer', 'Time to the whole answer')
-        self.first = self._observe('first_byte', 'Time to the first byte')
+        self.seconds = self._make_histogram(
+            'answer', 'Time to the whole answer'
+        )
+        self.first = self._make_histogram(
+            'first_byte', 'Time to the first byte'
+        )
 
     def record_answer(self, answer, seconds, first_s):
-        """Count a final answer."""
+        """Count a final answer.
+
+        Parameters
+        ----------
+        answer : relay.Answer
+        seconds : float
+            From the arrival of the request to the end of its answer.
+        first_s : float or None
+            From its arrival to the first byte of the answer; None: no byte.
+        """
         self.answers.labels(str(answer.status), answer.reason[:40]).inc()
         self.seconds.observe(seconds)
         if first_s is not None:
             self.first.observe(first_s)
 
-    def record_targets(self, cold, evacuated, parted):
-        """Note what keeps requests from targets.
+    def record_targets(self, cold, evacuated, partitioned):
+        """Update the gauges of what excludes targets from requests.
 
         Parameters
         ----------
         cold : int
             Targets that count as cold.
         evacuated : dict of str to float
-            Seconds since each evacuation was heard of, by domain.
-        parted : bool
-            Whether engines are parted by the size of what they read.
+            Seconds since notice of each evacuation was received, by domain.
+        partitioned : bool
+            Whether engines are partitioned by the size of prompts.
         """
         self.cold.set(cold)
         self.evacuated.clear()
         for domain, seconds in evacuated.items():
             self.evacuated.labels(domain).set(seconds)
-        self.parted.set(parted)
+        self.partitioned.set(partitioned)
 
-    def record_limits(self, named, used, now):
-        """Note which targets name a limit.
+    def record_limits(self, advertised, used, now):
+        """Update the gauges of the limits that targets advertise.
 
         Parameters
         ----------
-        named : dict of str to limits.Known
-            By the name of the target's life.
+        advertised : dict of str to limits.Known
+            By the name of the target's incarnation.
         used : dict of str to float
-            Requests a second that this box sent there, likewise.
+            Requests a second that this box sent, by the same names.
+        now : float
+            Boot-time clock, seconds.
         """
-        for gauge in (self.limited, self.limit_ages, self.limits_used):
+        for gauge in (
+            self.advertised_limits,
+            self.limit_ages,
+            self.limits_used,
+        ):
             gauge.clear()
-        for name, known in named.items():
-            self.limited.labels(name).set(known.per_s)
+        for name, known in advertised.items():
+            self.advertised_limits.labels(name).set(known.per_s)
             self.limit_ages.labels(name).set(now - known.heard)
             self.limits_used.labels(name).set(used[name])
 
     def record_leaving(self, ages_s):
-        """Note which targets have said that they leave.
+        """Update the gauges of the targets that have announced to leave.
 
         Parameters
         ----------
         ages_s : dict of str to float
-            Seconds since then, by the name of the target's life.
+            Seconds since the notice, by the name of the incarnation.
         """
         self.leaving_ages.clear()
         for name, age_s in ages_s.items():
             self.leaving_ages.labels(name).set(age_s)
 
     def record_resting(self, left_s):
-        """Note which targets have asked this box for rest.
+        """Update the gauges of targets that asked this box for a back-off.
 
         Parameters
         ----------
         left_s : dict of str to float
-            Seconds of it left, by the name of the target's life.
+            Seconds left of it, by the name of the incarnation.
         """
-        self.rests_left.clear()
+        self.backoffs_left.clear()
         for name, seconds in left_s.items():
-            self.rests_left.labels(name).set(seconds)
+            self.backoffs_left.labels(name).set(seconds)
 
     def render(self):
-        """Give the text of the metrics address."""
+        """Return the metrics in the text format of Prometheus."""
         return prometheus.generate_latest(self.registry)
 
-    def _count(self, name, text, labels=()):
+    def _make_counter(self, name, text, labels=()):
         return prometheus.Counter(
             f'landingspool_gateway_{name}',
             text,
@@ -147,7 +168,7 @@
             registry=self.registry,
         )
 
-    def _gauge(self, name, text, labels=()):
+    def _make_gauge(self, name, text, labels=()):
         return prometheus.Gauge(
             f'landingspool_gateway_{name}',
             text,
@@ -155,10 +176,10 @@
             registry=self.registry,
         )
 
-    def _observe(self, name, text):
+    def _make_histogram(self, name, text):
         return prometheus.Histogram(
             f'landingspool_gateway_{name}_seconds',
             text,
-            buckets=SECONDS,
+            buckets=BUCKETS_S,
             registry=self.registry,
         )
--- a/landingspool/gateway/outcomes.py
+++ b/landingspool/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""How one try of a relayed request ended, as tagged outcomes."""
+"""Outcomes of one attempt to have a request answered by a target."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Cause(enum.StrEnum):
-    """What ended a try whose answer did not come whole."""
+    """Why an attempt got no complete answer."""
 
     CLOSED = 'closed'
     DEAD_PATH = 'dead_path'
@@ -18,7 +18,8 @@
     STOPPED = 'stopped'
 
 
-# Causes that are as they look where the target has ended without a word.
+# Causes that a target which crashed without closing its connections brings
+# about as well: the attempt may have ended by a crash.
 UNANSWERED = frozenset(
     (Cause.DEAD_PATH, Cause.SILENT, Cause.PAUSED, Cause.TIME_OVER)
 )
@@ -26,28 +27,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unreached:
-    """No connection: nothing was sent."""
+    """No connection could be opened; nothing was sent."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Stale:
-    """The choice was void before it could be carried out."""
+    """The choice of the target no longer held; nothing was sent."""
 
     reason: str = 'stale'
 
 
 @dataclasses.dataclass(frozen=True)
 class Rejected:
-    """The target says that it has not run the request and won't."""
+    """The target says that it has not executed the request and won't."""
 
     head: answers.Head
 
 
 @dataclasses.dataclass(frozen=True)
 class Failed:
-    """The target ran the request and answered with a failure."""
+    """The target answered with an error; it may have executed the request."""
 
     head: answers.Head
     body: bytes
@@ -55,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Lost:
-    """The request was sent and no answer came back whole."""
+    """The request was sent and no complete answer came back."""
 
     reason: str
     cause: Cause
@@ -63,13 +64,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Done:
-    """The answer was passed on whole."""
+    """The complete answer was forwarded."""
 
     status: int
 
 
 def describe(outcome):
-    """Give one word or line for an outcome, for the log."""
+    """Return a short text for an outcome, for the log."""
     if isinstance(outcome, Rejected | Failed):
         return f'{type(outcome).__name__.lower()} {outcome.head.status}'
     return outcome.reason
--- a/landingspool/gateway/relay.py
+++ b/landingspool/gateway/relay.py
@@ -1,8 +1,9 @@
-"""The life of one relayed request: choose, try, judge, answer.
+"""Relay one request: choose a target, attempt it, retry or answer.
 
-Each try ends in one of the outcomes, and the table JUDGES says what follows.
-What a refusal promises ("has not run and will not") is only said when no
-byte of the request reached a target that may have worked on it.
+Each attempt returns an outcome, and OUTCOME_HANDLERS maps its class to the
+method that decides what follows.  A refusal (503) promises that the request
+was not executed and will not be.  It is sent only if no byte of the request
+reached a target that may have worked on it.
 """
 
 import asyncio
@@ -15,21 +16,22 @@
 from landingspool.decisions.gateway import routes
 from landingspool.gateway import attempts
 from landingspool.gateway import outcomes
-from landingspool.gateway import progress as progress_module
+from landingspool.gateway import request_state as request_state_module
 from landingspool.platform import answers
 
-# Tries that may fail before anything is sent, over those that are sent.
-MOST_CONNECTS = 4
-# When a refused caller should come back, seconds: spread, so that callers
-# do not come back together; a target's reload takes about a second.
+# Attempts of a request that may fail before anything is sent; those that are
+# sent are limited by its route.
+MAX_UNSENT_ATTEMPTS = 4
+# Range of the random Retry-After of a refusal, seconds.  Random, so that
+# callers don't return together; a target's reload takes about a second.
 RETRY_AFTER_S = (0.15, 0.5)
-# The same where all targets leave: another one has to start, load and be
-# listed.
-REPLACED_AFTER_S = (1.0, 2.0)
+# The same when all targets are leaving: a replacement has to start, load its
+# weights and be listed.
+REPLACEMENT_RETRY_AFTER_S = (1.0, 2.0)
 
 
 class Answer(typing.NamedTuple):
-    """How a request ended, for the log."""
+    """The final answer to a request, for the log and the metrics."""
 
     status: int
     reason: str
@@ -37,13 +39,13 @@
 
 
 class Relay:
-    """One request.
+    """Relays one request and answers it exactly once.
 
     Parameters
     ----------
     hub
-        The box's parts: `view`, `recorder`, `metrics`, `clock`, and what a
-        try needs.
+        The box's parts: `view`, `recorder`, `metrics`, `clock`, `upstream`,
+        `resumption`, and those that an attempt needs.
     call : ingress.Call
     body : bytes
     reply : listener.Reply
@@ -54,13 +56,13 @@
         self._view = hub.view
         self._call = call
         self._reply = reply
-        self._progress = progress_module.Progress(
+        self._state = request_state_module.RequestState(
             call, body, reply, hub.clock()
         )
         self._plan = None
 
     async def run(self):
-        """Serve the request; exactly one answer is given."""
+        """Serve the request and give exactly one answer."""
         try:
             answer = await self._serve()
         except asyncio.CancelledError:
@@ -69,15 +71,15 @@
         self._finish(answer)
 
     async def _serve(self):
-        await self._hub.resumption.wait_read()
+        await self._hub.resumption.wait_for_pending_input()
         if self._view.table is None:
             return await self._refuse('no_table')
-        proved = self._is_proved() or await self._wait_proved()
+        proved = self._is_proved() or await self._wait_for_proof()
         return await self._admit(proved)
 
     async def _admit(self, proved):
         table = self._view.table
-        route = self._find_route()
+        route = self._get_route()
         if route is None:
             return await self._deny(404, 'no_route')
         tenancy, passes = routes.find_tenancy(table, route, self._call.key)
@@ -86,129 +88,132 @@
         if not proved:
             return await self._refuse('unproved_table')
         service = routes.pick_service(route, self._view.rng)
-        self._progress.begin(
+        self._state.begin(
             plans.Work(
                 self._call.name, route, service, tenancy, self._call.prompt
             )
         )
-        self._view.count_first(self._progress.work, self._progress.started)
-        return await self._try_all()
+        self._view.count_first(self._state.work, self._state.started)
+        return await self._run_attempts()
 
-    async def _try_all(self):
-        progress = self._progress
+    async def _run_attempts(self):
+        state = self._state
         while True:
             now = self._hub.clock()
-            if progress.is_over(now):
+            if state.is_expired(now):
                 return await self._give_up('time_over', 504)
-            bar = self._view.endings.find_bar(progress.fingerprint, now)
-            if bar is not None:
-                return await self._stop(bar, now)
+            quarantine = self._view.endings.find_bar(state.fingerprint, now)
+            if quarantine is not None:
+                return await self._refuse_quarantined(quarantine, now)
             ready = self._hub.upstream.list_ready(
-                routes.may_repeat(progress.work.route)
+                routes.may_repeat(state.work.route)
             )
-            plan = self._view.plan(progress.work, progress.avoid, now, ready)
+            plan = self._view.plan(state.work, state.tried_targets, now, ready)
             self._plan = plan
             if plan is None:
-                lack = self._view.find_lack(progress.work, now)
-                return await self._defer(lack, now)
-            if plan.is_scarce and not progress.sends:
-                if not self._view.room.take(
-                    progress.work, self._view.table, now
-                ):
-                    return await self._defer(bars.LIMITED, now)
-            if not progress.sends and not self._view.is_admitted(
-                plan, progress.work
+                shortage = self._view.find_lack(state.work, now)
+                return await self._refuse_excluded(shortage, now)
+            if plan.is_scarce and not state.sends:
+                if not self._view.room.take(state.work, self._view.table, now):
+                    return await self._refuse_excluded(bars.LIMITED, now)
+            if not state.sends and not self._view.is_admitted(
+                plan, state.work
             ):
-                return await self._turn_away()
-            outcome = await attempts.Attempt(self._hub, progress, plan).run()
+                return await self._refuse_overloaded()
+            outcome = await attempts.Attempt(self._hub, state, plan).run()
             if not isinstance(outcome, outcomes.Stale):
-                progress.avoid.append(plan.entry.name)
-            answer = await JUDGES[type(outcome)](self, outcome)
+                state.tried_targets.append(plan.entry.name)
+            answer = await OUTCOME_HANDLERS[type(outcome)](self, outcome)
             if answer is not None:
                 return answer
             reason = outcomes.describe(outcome)
             self._record('retried', reason=reason, **self._describe_choice())
 
-    async def _judge_done(self, outcome):
+    async def _handle_done(self, outcome):
         return Answer(outcome.status, 'answered', True)
 
-    async def _judge_stale(self, outcome):
-        self._progress.connects += 1
+    async def _handle_stale(self, outcome):
+        self._state.unsent_attempts += 1
         if self._is_proved():
-            return await self._go_on()
-        if await self._wait_proved() and self._is_still_allowed():
-            return await self._go_on()
+            return await self._continue_unsent()
+        if await self._wait_for_proof() and self._is_still_allowed():
+            return await self._continue_unsent()
         return await self._give_up('unproved_table')
 
     def _is_proved(self):
         return attempts.is_proved(self._view, self._hub.clock())
 
-    async def _wait_proved(self):
-        """Wait for a proof, if this box has just stood still."""
-        route = self._find_route()
+    async def _wait_for_proof(self):
+        """Wait for the table's proof to be renewed after a stall."""
+        route = self._get_route()
         if route is None:
             return False
-        return await self._hub.resumption.wait_proved(route.target_latency_s)
+        return await self._hub.resumption.wait_for_proof(
+            route.target_latency_s
+        )
 
     def _is_still_allowed(self):
-        """Tell whether the table that has come meanwhile allows it, too."""
-        route = self._find_route()
+        """Return whether the table read during the wait allows it, too."""
+        route = self._get_route()
         if route is None:
             return False
         return routes.find_tenancy(self._view.table, route, self._call.key)[1]
 
-    def _find_route(self):
+    def _get_route(self):
         call = self._call
         return routes.find_route(self._view.table, call.host, call.target)
 
-    async def _judge_unreached(self, outcome):
-        self._progress.connects += 1
-        return await self._go_on()
+    async def _handle_unreached(self, outcome):
+        self._state.unsent_attempts += 1
+        return await self._continue_unsent()
 
-    async def _go_on(self):
-        """Go on after a try that sent nothing, unless there were many."""
-        if self._progress.connects < MOST_CONNECTS:
+    async def _continue_unsent(self):
+        """Allow another attempt after one that sent nothing, up to a limit."""
+        if self._state.unsent_attempts < MAX_UNSENT_ATTEMPTS:
             return None
         return await self._give_up('unreached')
 
-    async def _judge_rejected(self, outcome):
-        if self._progress.has_sends_left() and self._take_repeat():
+    async def _handle_rejected(self, outcome):
+        if self._state.has_sends_left() and self._take_retry_budget():
             return None
-        work, now = self._progress.work, self._hub.clock()
+        work, now = self._state.work, self._hub.clock()
         if self._view.has_open(work, now):
             return await self._give_up('rejected')
-        return await self._defer(self._view.find_lack(work, now), now)
+        return await self._refuse_excluded(
+            self._view.find_lack(work, now), now
+        )
 
-    async def _judge_failed(self, outcome):
+    async def _handle_failed(self, outcome):
         head = outcome.head
-        if head.status >= 500 and self._progress.may_send_again():
-            if self._take_repeat():
+        if head.status >= 500 and self._state.may_send_again():
+            if self._take_retry_budget():
                 return None
         if self._reply.started:
-            return self._break_off('failed')
+            return self._abort_reply('failed')
         rows = answers.relay_headers(head)
-        await self._reply.send_whole(head.status, rows, outcome.body)
+        await self._reply.send_complete(head.status, rows, outcome.body)
         return Answer(head.status, 'failed', True)
 
-    async def _judge_lost(self, outcome):
-        if self._progress.may_send_again() and self._take_repeat():
+    async def _handle_lost(self, outcome):
+        if self._state.may_send_again() and self._take_retry_budget():
             return None
         status = 504 if outcome.reason in ('silent', 'time_over') else 502
         return await self._give_up(outcome.reason, status)
 
-    def _take_repeat(self):
-        if self._view.may_repeat(
-            self._progress.work.service, self._hub.clock()
-        ):
+    def _take_retry_budget(self):
+        if self._view.may_repeat(self._state.work.service, self._hub.clock()):
             return True
         self._hub.metrics.budget_refusals.inc()
         return False
 
     async def _give_up(self, reason, status=502):
-        """Answer what can't be served; says "not run" only if that holds."""
+        """Answer what can't be served, as "not executed" only if that holds.
+
+        A reply that has been started is broken off instead.
+        """
         if self._reply.started:
-            return self._break_off(reason)
-        if not self._progress.may_have_run:
+            return self._abort_reply(reason)
+        if not self._state.may_have_run:
             return await self._refuse(reason)
         await self._reply.send_error(status, reason)
         return Answer(status, reason, True)
@@ -218,35 +223,36 @@
         await self._reply.send_error(503, reason, after)
         return Answer(503, reason, False)
 
-    async def _stop(self, bar, now):
-        """Answer a request that might end a further target."""
-        if self._progress.sends:
-            return await self._give_up(bar)
+    async def _refuse_quarantined(self, quarantine, now):
+        """Answer a request that might crash a further target."""
+        if self._state.sends:
+            return await self._give_up(quarantine)
         endings = self._view.endings
-        left_s = endings.find_left(self._progress.fingerprint, now)
-        return await self._refuse(bar, left_s or None)
+        left_s = endings.find_left(self._state.fingerprint, now)
+        return await self._refuse(quarantine, left_s or None)
 
-    async def _defer(self, lack, now):
+    async def _refuse_excluded(self, shortage, now):
         """Answer a request that no target may get now.
 
-        Who is refused hears when there may be one, where that is known.
+        Retry-After says when a target may be available, where the reason of
+        the shortage tells it.
         """
-        if self._reply.started or self._progress.may_have_run:
-            return await self._give_up(lack)
-        find = RETURNS.get(lack)
-        after = find(self, now) if find is not None else None
-        return await self._refuse(lack, after)
-
-    def _find_room(self, now):
-        left_s = self._progress.find_left(now)
+        if self._reply.started or self._state.may_have_run:
+            return await self._give_up(shortage)
+        estimate = RETRY_AFTER_ESTIMATORS.get(shortage)
+        after = estimate(self, now) if estimate is not None else None
+        return await self._refuse(shortage, after)
+
+    def _estimate_capacity_return(self, now):
+        left_s = self._state.get_time_left(now)
         return self._view.room.find_return(
-            self._progress.work, self._view.table, left_s, now
+            self._state.work, self._view.table, left_s, now
         )
 
-    def _find_replacement(self, now):
-        return random.uniform(*REPLACED_AFTER_S)
+    def _estimate_replacement(self, now):
+        return random.uniform(*REPLACEMENT_RETRY_AFTER_S)
 
-    async def _turn_away(self):
+    async def _refuse_overloaded(self):
         wait_s = self._plan.wait_s
         after = admission.find_retry_after(
             wait_s, self._plan.pressure, self._view.rng
@@ -264,7 +270,7 @@
         await self._reply.send_error(status, reason)
         return Answer(status, reason, False)
 
-    def _break_off(self, reason):
+    def _abort_reply(self, reason):
         self._reply.abort()
         return Answer(0, reason, True)
 
@@ -275,36 +281,37 @@
         return attempts.describe_plan(self._plan, self._view.table)
 
     def _finish(self, answer):
-        progress = self._progress
-        seconds = self._hub.clock() - progress.started
-        first_s = progress.first_byte_s
+        state = self._state
+        seconds = self._hub.clock() - state.started
+        first_s = state.first_byte_s
         self._hub.metrics.record_answer(answer, seconds, first_s)
         self._record(
             'answered' if 200 <= answer.status < 300 else 'not_served',
             status=answer.status,
             reason=answer.reason,
             may_have_run=answer.may_have_run,
-            route=progress.work.route.name if progress.work else '',
-            content=progress.fingerprint.hex(),
+            route=state.work.route.name if state.work else '',
+            content=state.fingerprint.hex(),
             seconds=round(seconds, 4),
             first_s=round(first_s or 0.0, 4),
-            sends=progress.sends,
-            tried=progress.avoid,
+            sends=state.sends,
+            tried=state.tried_targets,
             proof_s=self._view.proof.age_to_log(self._hub.clock()),
         )
 
 
-# How to find when a request may be served that nothing may get now.
-RETURNS = {
-    bars.LIMITED: Relay._find_room,
-    bars.RESTING: Relay._find_room,
-    bars.LEAVING: Relay._find_replacement,
+# Methods that return the Retry-After of a refusal, by why no target may get
+# the request.
+RETRY_AFTER_ESTIMATORS = {
+    bars.LIMITED: Relay._estimate_capacity_return,
+    bars.RESTING: Relay._estimate_capacity_return,
+    bars.LEAVING: Relay._estimate_replacement,
 }
-JUDGES = {
-    outcomes.Done: Relay._judge_done,
-    outcomes.Stale: Relay._judge_stale,
-    outcomes.Unreached: Relay._judge_unreached,
-    outcomes.Rejected: Relay._judge_rejected,
-    outcomes.Failed: Relay._judge_failed,
-    outcomes.Lost: Relay._judge_lost,
+OUTCOME_HANDLERS = {
+    outcomes.Done: Relay._handle_done,
+    outcomes.Stale: Relay._handle_stale,
+    outcomes.Unreached: Relay._handle_unreached,
+    outcomes.Rejected: Relay._handle_rejected,
+    outcomes.Failed: Relay._handle_failed,
+    outcomes.Lost: Relay._handle_lost,
 }
--- /dev/null
+++ b/landingspool/gateway/request_state.py
@@ -0,0 +1,100 @@
+"""State of one request that its attempts share.
+
+A request may be attempted at several targets.  What the earlier attempts did
+limits the next one: how often the request was sent, whether it may have been
+executed, and which part of a stream the caller already has.
+"""
+
+from landingspool.decisions.gateway import fingerprints
+from landingspool.decisions.gateway import routes
+
+# Seconds before a request's deadline at which it is answered at the latest.
+ANSWER_MARGIN_S = 0.05
+# Shortest time-out of an attempt.
+MIN_TIMEOUT_S = 0.01
+
+
+class RequestState:
+    """State of one request in progress.
+
+    Parameters
+    ----------
+    call : ingress.Call
+    body : bytes
+    reply : listener.Reply
+    now : float
+        Boot-time clock, seconds.
+
+    Attributes
+    ----------
+    work : view.Work or None
+        None until its route is known.
+    deadline : float
+        Time on the boot-time clock by which it is to be answered.
+    stream : stream.Stream or None
+        The caller's stream, once it has begun.
+    tried_targets : list of str
+        Targets of its earlier attempts.
+    sends : int
+        Attempts that were sent.
+    unsent_attempts : int
+        Attempts that ended before anything was sent.
+    may_have_run : bool
+        Whether a byte of it reached a target that may have worked on it.
+    first_byte_s : float or None
+        Seconds from its arrival to the first byte of its answer.
+    fingerprint : bytes
+        The same for all requests with the same workspace, path and body;
+        empty until the route is known.
+    """
+
+    def __init__(self, call, body, reply, now):
+        self.call = call
+        self.body = body
+        self.reply = reply
+        self.started = now
+        self.work = None
+        self.deadline = now + call.left_s
+        self.stream = None
+        self.tried_targets = []
+        self.sends = 0
+        self.unsent_attempts = 0
+        self.may_have_run = False
+        self.first_byte_s = None
+        self.fingerprint = b''
+
+    def begin(self, work):
+        """Set the work; the route may shorten the time to the deadline."""
+        self.work = work
+        self.deadline = self.started + min(
+            self.call.left_s, work.route.timeout_s
+        )
+        self.fingerprint = fingerprints.take_fingerprint(
+            work.tenancy.name if work.tenancy else '',
+            self.call.target,
+            self.body,
+        )
+
+    def is_expired(self, now):
+        """Return whether its deadline is over, less the answer's margin."""
+        return now >= self.deadline - ANSWER_MARGIN_S
+
+    def get_time_left(self, now):
+        """Return the seconds in which an attempt has to be answered."""
+        return max(self.deadline - ANSWER_MARGIN_S - now, MIN_TIMEOUT_S)
+
+    def may_send_again(self):
+        """Return whether it may run more than once and has a send left.
+
+        The retry budget is not checked here.
+        """
+        return routes.may_repeat(self.work.route) and self.has_sends_left()
+
+    def has_sends_left(self):
+        """Return whether its route allows a further send."""
+        return self.sends < self.work.route.max_attempts
+
+    def record_first(self, now):
+        """Record the time of the answer's first byte, once."""
+        if self.first_byte_s is None:
+            self.first_byte_s = now - self.started
--- a/landingspool/gateway/resumption.py
+++ b/landingspool/gateway/resumption.py
@@ -1,26 +1,26 @@
-"""What a box does first after a time in which it did not run.
+"""Renew the proof of the routing table after a stall of this process.
 
-The proof of its table has aged meanwhile, though the platform's store may be
-as sound as before.  So the table is read anew at once, and requests wait for
-that, for a share of the time within which they are to be answered, before
-they are refused.  Nothing is sent on the old proof.
+The proof says how recently the platform's store confirmed the table.  It
+ages during a stall, though the store may work as before.  So the table is
+read again at once.  Requests wait for that for a share of their latency
+objective before they are refused.  None is sent on the old proof.
 """
 
 import asyncio
 
 from landingspool.gateway import attempts
 
-# Seconds after a standstill for which the lack of a proof is put down to it.
-RENEWAL_S = 0.5
-# Seconds for which what has arrived meanwhile is read, before all else.
+# Seconds after a stall for which a missing proof is attributed to the stall.
+RENEWAL_TIMEOUT_S = 0.5
+# Seconds after a stall in which only the input received during it is read.
 ARRIVED_S = 0.02
-# Share of the time aimed at that a request may wait; the rest is for its
-# target, or for the caller to come back.
-HOLD_SHARE = 0.5
+# Share of its latency objective that a request may wait.  The other part is
+# for the target, or for the caller to return.
+MAX_WAIT_SHARE = 0.5
 
 
 class Resumption:
-    """The renewal of the proof after a standstill.
+    """Renews the proof after a stall and lets requests wait for it.
 
     Parameters
     ----------
@@ -31,23 +31,26 @@
     def __init__(self, hub):
         self._hub = hub
         self._resumed_at = None
-        self._over = asyncio.Event()
-        self._woken = asyncio.Event()
-        self._over.set()
+        self._finished = asyncio.Event()
+        self._stall_begun = asyncio.Event()
+        self._finished.set()
 
     def begin(self, stall):
-        """Have the table read anew, and let requests wait for that."""
+        """Have the table read again, and let requests wait for that."""
         self._resumed_at = stall.now
-        self._over.clear()
-        self._woken.set()
-        self._woken = asyncio.Event()
-        asyncio.get_running_loop().call_later(RENEWAL_S, self._end, stall.now)
+        self._finished.clear()
+        self._stall_begun.set()
+        self._stall_begun = asyncio.Event()
+        asyncio.get_running_loop().call_later(
+            RENEWAL_TIMEOUT_S, self._finish, stall.now
+        )
 
-    async def wait_read(self):
-        """Wait until what has arrived in a standstill has been read.
+    async def wait_for_pending_input(self):
+        """Wait until the input received during a stall has been read.
 
-        Callers that have left meanwhile are found out by it: their requests
-        must not reach targets all at once with those that are still wanted.
+        This detects callers that disconnected during the stall.  Otherwise
+        their requests would reach the targets all at once, together with
+        those that are still wanted.
         """
         now = self._hub.timer.look()
         if self._resumed_at is not None:
@@ -56,19 +59,18 @@
                 await asyncio.sleep(left_s)
 
     async def wait_begun(self):
-        """Wait until this process has stood still."""
-        await self._woken.wait()
+        """Wait until this process has stalled."""
+        await self._stall_begun.wait()
 
     def record_read(self, is_answered):
-        """Note how a read of the tables ended that was sent since then.
+        """Record the result of a read of the tables sent after the stall.
 
         Parameters
         ----------
         is_answered : bool
-            Whether there was an answer; without one there is nothing to
-            wait for.
+            Whether the store answered; if not, the wait of requests ends.
         """
-        if self._over.is_set():
+        if self._finished.is_set():
             return
         now = self._hub.timer.now()
         if is_answered and not self._is_proved(now):
@@ -78,27 +80,27 @@
             seconds=round(now - self._resumed_at, 3),
             proved=is_answered,
         )
-        self._over.set()
+        self._finished.set()
 
-    async def wait_proved(self, aim_s):
-        """Wait for a proof that a standstill has made too old.
+    async def wait_for_proof(self, objective_s):
+        """Wait for the renewal of a proof that a stall has made too old.
 
         Parameters
         ----------
-        aim_s : float
-            Seconds within which the request is to be answered.
+        objective_s : float
+            Latency objective of the request, seconds.
 
         Returns
         -------
         bool
-            Whether there is one now; False at once where the lack of a proof
-            does not come from a standstill.
+            Whether the table is proved now.  False at once if the proof is
+            not missing because of a stall.
         """
-        if self._over.is_set():
+        if self._finished.is_set():
             return False
-        waiting = asyncio.ensure_future(self._over.wait())
+        waiting = asyncio.ensure_future(self._finished.wait())
         try:
-            await asyncio.wait({waiting}, timeout=aim_s * HOLD_SHARE)
+            await asyncio.wait({waiting}, timeout=objective_s * MAX_WAIT_SHARE)
         finally:
             waiting.cancel()
         return self._is_proved(self._hub.timer.now())
@@ -107,7 +109,7 @@
         view = self._hub.view
         return view.table is not None and attempts.is_proved(view, now)
 
-    def _end(self, begun):
-        """End the renewal that began then."""
+    def _finish(self, begun):
+        """End the renewal that began at `begun`, unless a later one has."""
         if begun == self._resumed_at:
-            self._over.set()
+            self._finished.set()
--- a/landingspool/gateway/stream.py
+++ b/landingspool/gateway/stream.py
@@ -1,7 +1,7 @@
-"""A stream of events on its way to the caller, whole events only.
+"""Forward a stream of server-sent events to a caller, complete events only.
 
-A target may break off within an event.  Only whole events are passed on,
-so that the stream can be continued at another target after the last one.
+A target may break off within an event.  Only complete events are forwarded,
+so that another target can continue the stream after the last one.
 """
 
 import re
@@ -9,12 +9,12 @@
 from landingspool.platform import answers
 
 BOUNDARY = re.compile(rb'\r?\n\r?\n')
-# Bytes that an event may have: those of the deployments have some hundred.
-MOST_EVENT = 1024 * 1024
+# Size limit of an event; events usually have some hundred bytes.
+MAX_EVENT_BYTES = 1024 * 1024
 
 
-class Endless(Exception):
-    """An event is longer than any may be."""
+class EventTooLong(Exception):
+    """An event is longer than MAX_EVENT_BYTES."""
 
 
 class Stream:
@@ -25,68 +25,73 @@
     reply : listener.Reply
     status : int
     headers : list
-        Of the first target that answered; they stay.
+        Of the first target that answered; a later target's are dropped.
 
     Attributes
     ----------
-    last_event : str
-        Id of the last event passed on.
-    events : bool
-        Whether any event was passed on.
-    noted : bool
-        Whether the first event of the present target was noted.
+    last_event_id : str
+        Id of the last event forwarded.
+    any_sent : bool
+        Whether any event was forwarded.
+    first_recorded : bool
+        Whether the first event of the current target was recorded.
     """
 
     def __init__(self, reply, status, headers):
         self._reply = reply
         self._status = status
         self._headers = headers
-        self._held = b''
-        self.last_event = ''
-        self.events = False
-        self.noted = False
+        self._partial = b''
+        self.last_event_id = ''
+        self.any_sent = False
+        self.first_recorded = False
 
     def restart(self):
-        """Begin to take from another target."""
-        self._held = b''
-        self.noted = False
+        """Prepare for the events of another target."""
+        self._partial = b''
+        self.first_recorded = False
 
     async def take(self, data):
-        """Pass on what is whole; returns a version that was told, or None.
+        """Forward the events that are complete.
+
+        Returns
+        -------
+        int or None
+            Version of the target's weights, if the events name one.
 
         Raises
         ------
-        Endless
+        EventTooLong
         """
-        held = self._held + data
-        ends = [match.end() for match in BOUNDARY.finditer(held)]
+        pending = self._partial + data
+        ends = [match.end() for match in BOUNDARY.finditer(pending)]
         cut = ends[-1] if ends else 0
-        self._held = held[cut:]
-        if len(self._held) > MOST_EVENT:
-            raise Endless(f'an event of over {MOST_EVENT} bytes')
+        self._partial = pending[cut:]
+        if len(self._partial) > MAX_EVENT_BYTES:
+            raise EventTooLong(f'an event of over {MAX_EVENT_BYTES} bytes')
         if not cut:
             return None
-        whole = held[:cut]
-        self._record_id(whole)
+        complete = pending[:cut]
+        self._record_id(complete)
         if self._reply.started:
-            await self._reply.send_data(whole)
+            await self._reply.send_data(complete)
         else:
-            await self._reply.start(self._status, self._headers, whole)
-        self.events = True
-        return answers.find_event_version(whole)
+            await self._reply.start(self._status, self._headers, complete)
+        self.any_sent = True
+        return answers.find_event_version(complete)
 
-    def is_whole(self):
-        """Tell whether the target ended between two events."""
-        return not self._held.strip()
+    def is_complete(self):
+        """Return whether the last event that was received is complete."""
+        return not self._partial.strip()
 
     async def finish(self):
-        """End the stream as complete."""
+        """End the answer as complete."""
         if not self._reply.started:
             await self._reply.start(self._status, self._headers, b'')
         await self._reply.finish()
 
-    def _record_id(self, whole):
-        for line in reversed(whole.split(b'\n')):
+    def _record_id(self, complete):
+        for line in reversed(complete.split(b'\n')):
             if line.startswith(b'id:'):
-                self.last_event = line[3:].strip().decode('latin-1')
+                self.last_event_id = line[3:].strip().decode('latin-1')
                 return
--- a/landingspool/gateway/upstream.py
+++ b/landingspool/gateway/upstream.py
@@ -1,7 +1,8 @@
-"""Connections to targets, one request at a time on each.
+"""Pool of HTTP/1.1 connections to targets, one request at a time on each.
 
-A connection is kept only when its answer was framed, whole, and followed
-by nothing; it is used again only while the target surely still holds it.
+A connection returns to the pool only if its answer was framed, complete and
+followed by no further bytes.  It is used again only for as long as the
+target keeps idle connections open.
 """
 
 import asyncio
@@ -11,45 +12,52 @@
 
 import h11
 
-from landingspool.gateway import wire as wire_module
+from landingspool.gateway import connection as connection_module
 from landingspool import patience
 from landingspool.platform import answers
 from landingspool import uptime
 
-# Seconds to come up: trips of some ms; a target that is gone says nothing,
-# and a request has to be tried elsewhere within its aim (0.3 s and more).
-CONNECT_S = 0.2
-# A target that names no time may drop an idle connection within a second.
-UNNAMED_IDLE_S = 0.4
-# Seconds before a named time at which a connection is no longer used: the
-# request has to arrive before the target's clock ends it.
+# Time-out for a new connection.  A round trip takes some ms.  A target that
+# is gone doesn't answer at all, and another one has to be tried within the
+# latency objective of the request (0.3 s and more).
+CONNECT_TIMEOUT_S = 0.2
+# Idle time of connections to a target that sends no Keep-Alive time-out: it
+# may close them within a second.
+DEFAULT_IDLE_S = 0.4
+# Seconds before the end of the target's Keep-Alive time-out from which on a
+# connection isn't used: the request has to arrive before the target closes.
 IDLE_MARGIN_S = 0.5
-# Seconds at rest after which a connection is not used for what must not be
-# repeated: a target may forget one without a word, and what is sent on it
-# then is lost with no way to tell whether it ran.  With 0.3 s two in three
-# requests opened a connection; with 2 s four in ten, and no more failed (16
-# days); with 4 s 0.36 of 100 more failed (15 days).
-UNREPEATABLE_IDLE_S = 2.0
-# A connection at rest is asked by the kernel whether its peer still answers:
-# after so many seconds, again so many later, and given up after so many
-# questions.  One that went silent for good is noticed within two seconds.
-ALIVE_IDLE_S = 1
-ALIVE_PERIOD_S = 1
-ALIVE_QUESTIONS = 1
-# Milliseconds after which the kernel gives up a connection on which what was
-# sent is not acknowledged: an acknowledgement takes some ms, and comes after
-# 0.2 and 0.6 s where one or two packets are lost.
-UNACKNOWLEDGED_MS = 800
-# Kept per target and box; a box has some ten requests at a target at once.
-MOST_KEPT = 24
-MOST_HEAD = 32 * 1024
+# Idle time after which a connection isn't used for requests that must not be
+# repeated.  A target may drop a connection without closing it; a request
+# sent on it is then lost, and nobody can tell whether it was executed.  With
+# 0.3 s two in three requests open a connection, with 2 s four in ten; with
+# 4 s 0.36 of 100 more requests fail.
+MAX_UNREPEATABLE_IDLE_S = 2.0
+# TCP keep-alive: idle seconds before the first probe, seconds between probes,
+# and unanswered probes after which the kernel drops the connection.  A dead
+# peer is noticed within two seconds.
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 1
+# TCP_USER_TIMEOUT: the kernel drops a connection on which sent data stays
+# unacknowledged for this time.  An acknowledgement takes some ms, or 0.2 and
+# 0.6 s where one or two packets are lost.
+USER_TIMEOUT_MS = 800
+# Per target and box; a box has about ten concurrent requests at a target.
+MAX_IDLE_CONNECTIONS = 24
+MAX_HEAD_BYTES = 32 * 1024
 
 
 class Broken(Exception):
-    """The exchange can't go on.
+    """A connection or an exchange with a target failed.
 
-    `sent` tells if a byte may have gone out, `silent` if the path to the
-    target is dead.
+    Parameters
+    ----------
+    text : str
+    sent : bool
+        Whether a byte of the request may have been sent.
+    silent : bool
+        Whether the path to the target is dead: its host answers nothing.
     """
 
     def __init__(self, text, sent, silent=False):
@@ -58,21 +66,23 @@
         self.silent = silent
 
 
-class Idle(typing.NamedTuple):
-    """A connection at rest since `since`, to be used until `until`."""
+class IdleConnection(typing.NamedTuple):
+    """A connection, idle since `since`, that may be used until `until`."""
 
-    wire: wire_module.Wire
+    connection: connection_module.Connection
     since: float
     until: float
 
 
 class Upstream:
-    """Opens exchanges and keeps idle connections.
+    """Opens exchanges with targets and pools their idle connections.
 
     Parameters
     ----------
     metrics
         Counts new connections; anything with ``connections.inc()``.
+    clock : callable, optional
+        Returns the boot-time clock, seconds.
     """
 
     def __init__(self, metrics, clock=uptime.read):
@@ -80,78 +90,82 @@
         self._clock = clock
         self._idle = collections.defaultdict(collections.deque)
 
-    async def open(self, address, repeatable, most_kept=MOST_KEPT):
-        """Give an Exchange on a kept or new connection.
+    async def open(self, address, repeatable, max_idle=MAX_IDLE_CONNECTIONS):
+        """Return an Exchange on a pooled or a new connection.
 
         Parameters
         ----------
+        address : tuple
+            Host and port of the target.
         repeatable : bool
-            Whether the request may be sent again where it is lost.
-        most_kept : int
-            Connections to the target that may be kept at rest.
+            Whether the request may be sent again if it is lost.
+        max_idle : int
+            Idle connections to the target that may be kept.
 
         Raises
         ------
         Broken
             With `sent` false.
         """
-        wire = self._take(address, repeatable)
-        if wire is None:
-            wire = await self._connect(address)
-        return Exchange(self, address, wire, most_kept)
+        connection = self._take_idle(address, repeatable)
+        if connection is None:
+            connection = await self._connect(address)
+        return Exchange(self, address, connection, max_idle)
 
-    async def probe(self, address, most_kept):
-        """Open a connection to see whether it comes up, and keep it.
+    async def probe(self, address, max_idle):
+        """Check that a target accepts connections; keep the one opened.
 
         Raises
         ------
         Broken
-            Where it does not.
+            If the connection can't be opened.
         """
-        wire = await self._connect(address)
-        self.keep(address, wire, UNNAMED_IDLE_S, most_kept)
+        connection = await self._connect(address)
+        self.keep(address, connection, DEFAULT_IDLE_S, max_idle)
 
-    def keep(self, address, wire, idle_s, most_kept):
-        """Keep a connection that may be used for `idle_s` seconds."""
+    def keep(self, address, connection, idle_s, max_idle):
+        """Return a connection to the pool for `idle_s` seconds at most."""
         idle = self._idle[address]
-        if idle_s <= 0 or len(idle) >= min(most_kept, MOST_KEPT):
-            wire.close()
+        if idle_s <= 0 or len(idle) >= min(max_idle, MAX_IDLE_CONNECTIONS):
+            connection.close()
             return
         now = self._clock()
-        idle.append(Idle(wire, now, now + idle_s))
+        idle.append(IdleConnection(connection, now, now + idle_s))
 
     def drop(self, address):
-        """Close what is kept to an address."""
+        """Close the idle connections to an address."""
         for idle in self._idle.pop(address, ()):
-            idle.wire.close()
+            idle.connection.close()
 
     def sweep(self):
-        """Close the kept connections whose time is over."""
+        """Close the idle connections that have expired or are unusable."""
         now = self._clock()
         for address, idle in list(self._idle.items()):
             live = [
-                row for row in idle if row.until > now and row.wire.is_quiet
+                row
+                for row in idle
+                if row.until > now and row.connection.is_idle
             ]
             for row in idle:
                 if row not in live:
-                    row.wire.close()
+                    row.connection.close()
             if live:
                 self._idle[address] = collections.deque(live)
             else:
                 del self._idle[address]
 
     def close(self):
-        """Close all kept connections."""
+        """Close all idle connections."""
         for address in list(self._idle):
             self.drop(address)
 
     def list_ready(self, repeatable):
-        """List the addresses to which a connection at rest may be used.
+        """List the addresses with an idle connection fit for a request.
 
         Parameters
         ----------
         repeatable : bool
-            Whether the request may be sent again where it is lost.
+            Whether the request may be sent again if it is lost.
 
         Returns
         -------
@@ -165,86 +179,91 @@
         )
 
     async def _connect(self, address):
-        """Give a new connection.
+        """Open a connection.
 
         Raises
         ------
         Broken
-            With `sent` false, where none comes up in time.
+            With `sent` false, if it isn't established in time.
         """
         loop = asyncio.get_running_loop()
         try:
-            async with patience.Limit(CONNECT_S):
-                transport, wire = await loop.create_connection(
-                    wire_module.Wire, *address
+            async with patience.Limit(CONNECT_TIMEOUT_S):
+                transport, connection = await loop.create_connection(
+                    connection_module.Connection, *address
                 )
         except (OSError, TimeoutError) as error:
             raise Broken(f'connect: {error!r}', False) from error
-        watch_peer(transport.get_extra_info('socket'))
+        enable_keepalive(transport.get_extra_info('socket'))
         self._metrics.connections.inc()
-        return wire
+        return connection
 
-    def _take(self, address, repeatable):
+    def _take_idle(self, address, repeatable):
         idle = self._idle.get(address)
         while idle:
-            # The newest first: the others can run out and be closed.
+            # Newest first, so that surplus connections expire.
             row = idle[-1]
             now = self._clock()
             if is_usable(row, repeatable, now):
                 idle.pop()
-                return row.wire
-            if now < row.until and row.wire.is_quiet:
+                return row.connection
+            if now < row.until and row.connection.is_idle:
                 return None
             idle.pop()
-            row.wire.close()
+            row.connection.close()
         return None
 
 
 def is_usable(row, repeatable, now):
-    """Tell whether a connection at rest may be used for a request.
+    """Return whether an idle connection may be used for a request.
 
     Parameters
     ----------
-    row : Idle
+    row : IdleConnection
     repeatable : bool
-        Whether the request may be sent again where it is lost.
+        Whether the request may be sent again if it is lost.
+    now : float
+        Time of the pool's clock, seconds.
     """
-    if now >= row.until or not row.wire.is_quiet:
+    if now >= row.until or not row.connection.is_idle:
         return False
-    return repeatable or now - row.since <= UNREPEATABLE_IDLE_S
+    return repeatable or now - row.since <= MAX_UNREPEATABLE_IDLE_S
 
 
-def watch_peer(sock):
-    """Let the kernel find out when the other side of a connection is gone.
+def enable_keepalive(sock):
+    """Have the kernel detect a peer that no longer answers.
 
-    Without, a cut path costs each request on it its whole patience.
+    Without it, each request on a cut path waits for its full time-out.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp = socket.IPPROTO_TCP
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, ALIVE_IDLE_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, ALIVE_PERIOD_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, ALIVE_QUESTIONS)
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 class Exchange:
-    """One request to a target and its answer."""
+    """One request to a target and its answer, on one connection."""
 
-    def __init__(self, upstream, address, wire, most_kept):
+    def __init__(self, upstream, address, connection, max_idle):
         self._upstream = upstream
-        self._most_kept = most_kept
+        self._max_idle = max_idle
         self._address = address
-        self._wire = wire
-        self._conn = h11.Connection(h11.CLIENT, MOST_HEAD)
+        self._connection = connection
+        self._codec = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         self._head = None
-        self._early = False
+        self._answered_early = False
 
     def send(self, method, target, headers, body):
-        """Send a whole request; nothing can be proved from here on."""
-        conn = self._conn
+        """Send a complete request.
+
+        From here on nobody can prove that the target did not execute it.
+        """
+        codec = self._codec
         head = h11.Request(method=method, target=target, headers=headers)
-        data = conn.send(head) + conn.send(h11.Data(data=body))
-        self._wire.write(data + conn.send(h11.EndOfMessage()))
+        data = codec.send(head) + codec.send(h11.Data(data=body))
+        self._connection.write(data + codec.send(h11.EndOfMessage()))
 
     async def read_head(self):
         """Read the head of the answer.
@@ -262,14 +281,14 @@
             event = await self._next()
         if not isinstance(event, h11.Response):
             raise Broken('closed before an answer', True)
-        # An answer before the request has left: the rest of the body is
-        # still due on this connection, so nothing else may follow on it.
-        self._early = not self._wire.is_flushed
+        # The answer came before all of the request was sent.  The rest of
+        # the body is still due, so that the connection can't be used again.
+        self._answered_early = not self._connection.is_flushed
         self._head = answers.read_head(event.status_code, list(event.headers))
         return self._head
 
     async def read_data(self):
-        """Read on in the body; b'' at its whole end.
+        """Return the next bytes of the body; b'' at its complete end.
 
         Raises
         ------
@@ -283,33 +302,37 @@
         raise Broken('the answer was cut off', True)
 
     @property
-    def is_ended(self):
+    def is_closed(self):
         """Whether the target has closed or reset the connection."""
-        return self._wire.ended
+        return self._connection.closed
 
     def release(self):
-        """Keep the connection if it is fit for another request."""
-        conn, head = self._conn, self._head
-        framed = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-        clean = framed and not conn.trailing_data[0] and self._wire.is_quiet
-        if not clean or self._early or head.closing:
-            self._wire.close()
+        """Keep the connection if it can take another request."""
+        codec, head = self._codec, self._head
+        framed = codec.our_state is h11.DONE and codec.their_state is h11.DONE
+        clean = (
+            framed and not codec.trailing_data[0] and self._connection.is_idle
+        )
+        if not clean or self._answered_early or head.closing:
+            self._connection.close()
             return
         named = head.kept_s
-        idle_s = UNNAMED_IDLE_S if named is None else named - IDLE_MARGIN_S
-        self._upstream.keep(self._address, self._wire, idle_s, self._most_kept)
+        idle_s = DEFAULT_IDLE_S if named is None else named - IDLE_MARGIN_S
+        self._upstream.keep(
+            self._address, self._connection, idle_s, self._max_idle
+        )
 
     def abort(self):
-        """Drop the connection; the target stops working on the request."""
-        self._wire.abort()
+        """Reset the connection, at which the target cancels the request."""
+        self._connection.abort()
 
     async def _next(self):
         try:
             while True:
-                event = self._conn.next_event()
+                event = self._codec.next_event()
                 if event is not h11.NEED_DATA:
                     return event
-                self._conn.receive_data(await self._wire.read())
+                self._codec.receive_data(await self._connection.read())
         except (OSError, h11.ProtocolError) as error:
-            silent = isinstance(error, wire_module.PeerSilent)
+            silent = isinstance(error, connection_module.PeerSilent)
             raise Broken(repr(error), True, silent) from error
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,19 +1,19 @@
-"""A clock that jumps as that of a machine which was suspended."""
+"""Fixture that makes the clock jump as if the machine was suspended."""
 
 import time
 
 import pytest
 
-USUAL = time.clock_gettime
+REAL_CLOCK = time.clock_gettime
 
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Give what lets the machine seem to have been suspended."""
+    """Return a function that makes the boot-time clock jump by seconds."""
     lost = []
 
     def read(kind):
-        return USUAL(kind) + (
+        return REAL_CLOCK(kind) + (
             sum(lost) if kind == time.CLOCK_BOOTTIME else 0.0
         )
 
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -1,4 +1,4 @@
-"""A small deployment in one process: store, targets, boxes, one caller."""
+"""Small deployment in one process for tests: store, targets, boxes, caller."""
 
 import asyncio
 import contextlib
@@ -38,7 +38,7 @@
 
 
 def make_table(version=1, keys=(KEY,), routes=ROUTES, **extra):
-    """Give a configuration as operators write it."""
+    """Return a configuration as operators write it."""
     rows = [
         {
             'name': name,
@@ -75,12 +75,13 @@
 
 
 def make_store_table(version, address):
-    """Give a configuration with one store of kept context.
+    """Return a configuration with one store of cached context.
 
     Parameters
     ----------
+    version : int
     address : str
-        Of the store, host and port.
+        Host and port of the store.
     """
     table = make_table(version)
     table['services'].append(
@@ -95,12 +96,12 @@
 
 
 async def start_keeper(events):
-    """Start a store of kept context.
+    """Start a store of cached context.
 
     Parameters
     ----------
     events : list of list
-        What it keeps, as rows of its list.
+        Its entries, as rows of its list.
 
     Returns
     -------
@@ -115,10 +116,10 @@
 
 
 def find_port():
-    """Give a port that is free now, and that no connection is given.
+    """Return a free port outside of the system's range for connections.
 
-    One from the system's own range may go to a connection of another box
-    before the one it is meant for listens on it.
+    The system could give a port of its own range to another connection
+    before the box listens on it.
     """
     for port in PORTS:
         with socket.socket() as probe:
@@ -126,13 +127,19 @@
             try:
                 probe.bind(('127.0.0.1', port))
             except OSError:
-                # Somebody else's, or still held by an earlier box.
+                # Used by another process or still by an earlier box.
                 continue
             return port
 
 
 class Site:
-    """The parts; use it in `async with`."""
+    """Store, targets and boxes; to be used in ``async with``.
+
+    Parameters
+    ----------
+    plain, engines : int
+        Number of targets of each service.
+    """
 
     def __init__(self, plain=2, engines=2):
         self.store = platformstore.PlatformStore()
@@ -170,7 +177,7 @@
         self.store.put('keyed.op', 'config', table)
 
     def announce(self, runner, service, **fields):
-        """Let a target write of itself."""
+        """Write the entry of a target to the store."""
         entry = runner.entry(service, **fields)
         self.store.put('keyed.servers', runner.name, entry)
 
@@ -207,7 +214,7 @@
 
 
 async def start_boxes(deployment, count):
-    """Start some boxes that know each other."""
+    """Start boxes and wait until each knows all others."""
     hubs = []
     for number in range(count):
         seeds = [hub.place.links for hub in hubs]
@@ -218,16 +225,19 @@
 
 
 async def wait_until(holds, seconds=4.0):
-    """Wait until something holds; fails when it does not in time."""
+    """Wait until a condition holds; fail if it doesn't within `seconds`."""
     async with asyncio.timeout(seconds):
         while not holds():
             await asyncio.sleep(0.01)
 
 
 class Got:
-    """What a caller got for one request.
+    """The answer that a caller received.
 
-    `whole` tells whether the answer had a proper end.
+    Attributes
+    ----------
+    whole : bool
+        Whether the answer had a proper end.
     """
 
     def __init__(self, status, headers, body, whole):
@@ -238,7 +248,7 @@
 
 
 async def ask(hub, path, body=b'x', headers=(), key=KEY, method='POST'):
-    """Send one request as a caller does; gives what came back."""
+    """Send one request as a caller does and return what it got."""
     call = httpclient.Client().open(hub.place.callers)
     rows = [
         ('x-landingspool-request-id', f'id{next(NUMBERS)}'),
@@ -263,7 +273,7 @@
 
 @contextlib.asynccontextmanager
 async def connect(hub):
-    """Open a bare connection to the callers' side of a box."""
+    """Open a raw TCP connection to the callers' address of a box."""
     reader, writer = await asyncio.open_connection(*hub.place.callers)
     try:
         yield reader, writer
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -1,4 +1,4 @@
-"""An error of our own ends the request that met it, and nothing else."""
+"""An unexpected error in a box ends only the request that caused it."""
 
 import asyncio
 import json
@@ -9,8 +9,8 @@
 from tests.gateway import site
 from tests.gateway.test_relay import PROMPT
 
-# What raises, and where in the life of a request: the part of the box, its
-# method, and whether the target may have run the request by then.
+# What raises: the part of the box, its method, and whether the target has
+# executed the request by then.
 STAGES = (
     ('view', 'count_first', False),
     ('view', 'plan', False),
@@ -20,12 +20,12 @@
     ('metrics', 'record_answer', True),
     ('exchange', 'send', False),
 )
-# Parts that a box has no single one of.
+# Parts of which a box has several.
 PARTS = {'exchange': upstream.Exchange}
 
 
 def fail(*args, **kwargs):
-    """Raise what nobody expects."""
+    """Raise an unexpected error."""
     raise ZeroDivisionError('made by the test')
 
 
@@ -60,7 +60,7 @@
         targets = deployment.plain + deployment.engines
         assert bool(sum(len(t.ran) for t in targets)) == ran
         assert 'faults_total 1.0' in hub.metrics.render().decode()
-        # The box serves on, and holds nothing of the broken request.
+        # The box continues to serve, and has no state of the failed request.
         assert (await site.ask(hub, path, headers=PROMPT)).whole
         await site.wait_until(lambda: not hub.view.loads.list_told())
 
--- a/tests/gateway/test_heads.py
+++ b/tests/gateway/test_heads.py
@@ -1,4 +1,4 @@
-"""Heads that two servers may read in two ways are refused."""
+"""Request heads that two servers may interpret in two ways are refused."""
 
 import asyncio
 import re
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -1,8 +1,8 @@
-"""What a caller gets for each thing that a target may do.
+"""Answers to callers for each behaviour of a target.
 
-The rule under test: a refusal that promises "not run" is true, what may
-not be repeated runs once, and no answer but the whole one of the caller's
-own request looks like a success.
+The rules under test: a refusal that promises "not executed" is true, a
+request that must not be repeated runs once at most, and only the complete
+answer to the caller's own request looks like a success.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from landingspool.gateway import upstream
 from tests.gateway import site
 
-# behaviour of the first target asked, route -> status, times run in all
+# behaviour of the first target, route -> status, executions at all targets
 CASES = (
     ('whole', 'safe', 200, 1),
     ('whole', 'unsafe', 200, 1),
@@ -39,7 +39,7 @@
 
 
 def script(runners, behaviour):
-    """Let whichever target is asked first show the behaviour once."""
+    """Have the target that is asked first show the behaviour once."""
     shared = [behaviour]
     for runner in runners:
         runner.script = shared
@@ -64,7 +64,7 @@
 
 
 STREAMS = (
-    # behaviour, route -> whole, events, times run
+    # behaviour, route -> complete, events, executions
     ('stream', 'stream', True, 4, 1),
     ('stream', 'resumed', True, 4, 1),
     ('broken stream', 'stream', False, 2, 1),
@@ -107,7 +107,7 @@
         began = hub.clock()
         got = await site.ask(hub, '/stream/a', headers=PROMPT)
         assert not got.whole
-        # Its caller would have waited for 2.5 s.
+        # The caller's deadline is 2.5 s.
         assert hub.clock() - began < 1.5
 
     site.run(check)
@@ -234,7 +234,7 @@
         for _ in range(20):
             await site.ask(hub, '/safe/a')
         ran = sum(len(r.ran) for r in deployment.plain)
-        # 16 over eight boxes, used to four fifths, rounded down.
+        # A slack of 16 over eight boxes, used to four fifths, rounded down.
         assert ran == 20 + 1
 
     site.run(check)
@@ -246,7 +246,7 @@
         (runner,) = deployment.plain
         await site.ask(hub, '/unsafe/a')
         runner.forgets = True
-        await asyncio.sleep(upstream.UNREPEATABLE_IDLE_S + 0.05)
+        await asyncio.sleep(upstream.MAX_UNREPEATABLE_IDLE_S + 0.05)
         assert (await site.ask(hub, '/unsafe/a')).status == 200
         assert runner.connections == 2
 
--- a/tests/gateway/test_standstill.py
+++ b/tests/gateway/test_standstill.py
@@ -1,7 +1,7 @@
-"""A box that did not run for some seconds serves again as soon as it goes on.
+"""A box serves again at once after a stall of some seconds.
 
-Boxes, store and targets are in one process here, on the clock that counts
-suspensions: a jump of it is a standstill of all of them.
+Boxes, store and targets are in one process here, on the boot-time clock: a
+jump of the clock is a stall of all of them.
 """
 
 import asyncio
@@ -11,9 +11,9 @@
 from landingspool import uptime
 from tests.gateway import site
 
-# Over the bound for keys (5 s), so that no proof outlasts it.
-STANDSTILL_S = 6.0
-# Over the time for which a connection of a caller may be idle.
+# Longer than the bound for keys (5 s), so that no proof is valid after it.
+STALL_S = 6.0
+# Longer than a caller's connection may be idle.
 IDLE_S = 600.0
 REQUEST = (
     f'POST /safe/a HTTP/1.1\r\nhost: {site.HOST}\r\n'
@@ -24,7 +24,7 @@
 
 
 def run(test, **kinds):
-    """Run an async test against a site, on the product's own loop."""
+    """Run an async test against a site, on the event loop of the product."""
 
     async def main():
         async with site.Site(**kinds) as deployment:
@@ -34,14 +34,14 @@
 
 
 def count_ran(deployment):
-    """Count the requests that targets have run."""
+    """Return the number of requests that targets have executed."""
     runners = deployment.plain + deployment.engines
     return sum(len(runner.ran) for runner in runners)
 
 
 @pytest.mark.parametrize('seconds', [1.0, 4.0, 4.5, 5.0, 20.0])
 def test_callers_are_served_at_once_after_a_standstill(suspend, seconds):
-    # Guards against refusals because a proof has aged by the standstill.
+    # Guards against refusals because the proof has aged during the stall.
     async def check(deployment):
         hub = await deployment.start_box()
         for path in ('/safe/a', '/unsafe/a'):
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize('path', ['/safe/a', '/unsafe/a', '/resumed/a'])
 def test_answers_that_came_meanwhile_are_delivered(suspend, path):
-    # Guards against sound targets that are taken for silent.
+    # Guards against time-outs for targets that have answered in the stall.
     async def check(deployment):
         hub = await deployment.start_box()
         for runner in deployment.plain:
@@ -65,7 +65,7 @@
             runner.usual = 'stream'
         works = [asyncio.ensure_future(site.ask(hub, path)) for _ in range(4)]
         await site.wait_until(lambda: count_ran(deployment) == 4)
-        suspend(STANDSTILL_S)
+        suspend(STALL_S)
         answers = await asyncio.gather(*works)
         assert [a.status for a in answers] == [200] * 4
         assert count_ran(deployment) == 4
@@ -78,7 +78,7 @@
 
 
 def test_a_kept_connection_is_served_after_a_standstill(suspend):
-    # Guards against a close while the next request lies in the socket.
+    # Guards against an idle time-out while the next request is in the socket.
     async def check(deployment):
         hub = await deployment.start_box()
         async with site.connect(hub) as (reader, writer):
@@ -96,7 +96,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         deployment.store.mode = 'busy'
-        suspend(STANDSTILL_S)
+        suspend(STALL_S)
         answers = await asyncio.gather(
             *(site.ask(hub, '/unsafe/a') for _ in range(5))
         )
@@ -110,11 +110,11 @@
 
 
 def test_a_box_without_a_table_yet_goes_on(suspend):
-    # Guards against the end of a box that stood still while it started.
+    # Guards against the exit of a box that stalls while it starts.
     async def check(deployment):
         hub = await deployment.start_box()
         hub.view.table = None
-        suspend(STANDSTILL_S)
+        suspend(STALL_S)
         await asyncio.sleep(0.2)
         deployment.publish(site.make_table(2))
         await site.wait_until(lambda: hub.view.table is not None)
@@ -124,8 +124,8 @@
 
 
 def test_the_time_is_not_counted_against_targets_or_boxes(suspend):
-    # Guards against targets that count as slow, and callers that are turned
-    # away for it, by the time for which the box itself did not run.
+    # Guards against targets that count as slow because of a stall of the box,
+    # and callers that are refused for that.
     async def check(deployment):
         hub, _ = await site.start_boxes(deployment, 2)
         for runner in deployment.plain:
@@ -135,13 +135,13 @@
         paths = ['/safe/a', '/unsafe/a', '/stream/a'] * 2
         works = [asyncio.ensure_future(site.ask(hub, p)) for p in paths]
         await site.wait_until(lambda: count_ran(deployment) == len(works))
-        suspend(STANDSTILL_S)
+        suspend(STALL_S)
         hub.timer.look()
         assert hub.view.neighbours.list_heard(hub.clock()) == ['box1']
         answers = await asyncio.gather(*works)
         assert [a.status for a in answers] == [200] * len(works)
         for entry in hub.view.fleet.entries.values():
-            assert hub.view.get_health(entry.name).wait_s < STANDSTILL_S / 2
+            assert hub.view.get_health(entry.name).wait_s < STALL_S / 2
         assert hub.view.lateness.measure('engine', hub.clock()) < 1.0
 
     run(check)
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts nothing off."""
+"""A planned stop breaks off no request; nothing is sent on stale state."""
 
 import asyncio
 
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -1,7 +1,7 @@
-"""A machine that is suspended wakes with everything older than it was.
+"""Time for which a machine is suspended counts for proofs and timers.
 
-The usual steady clock stands still meanwhile, so the tests let the clock
-that counts such time jump.
+The monotonic clock stops during a suspension, so that the product uses the
+boot-time clock.  The tests make that one jump.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from landingspool import uptime
 from tests.gateway import site
 
-# Seconds that the machine was suspended: over the bound of keys, five.
+# Length of the suspension: longer than the bound for keys, five seconds.
 SUSPENDED_S = 9.0
 
 
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -1,10 +1,10 @@
-"""Which connections to targets are used again, and which targets for them."""
+"""Reuse of connections to targets, and its weight in the choice of one."""
 
 import asyncio
 import socket
 
+from landingspool.gateway import connection
 from landingspool.gateway import upstream
-from landingspool.gateway import wire
 from tests.gateway import site
 
 
@@ -28,14 +28,14 @@
 
 
 def test_one_at_rest_for_longer_is_only_used_for_what_may_be_repeated():
-    # Guards against a refusal, too, where the process stands still meanwhile.
+    # Guards against a refusal, too, if the process stalls during the wait.
     async def check(deployment):
         hub, target = await start_one(deployment)
-        await asyncio.sleep(upstream.UNREPEATABLE_IDLE_S + 0.2)
+        await asyncio.sleep(upstream.MAX_UNREPEATABLE_IDLE_S + 0.2)
         got = await site.ask(hub, '/safe/a')
         assert got.status == 200, got.body
         assert target.connections == 1
-        await asyncio.sleep(upstream.UNREPEATABLE_IDLE_S + 0.2)
+        await asyncio.sleep(upstream.MAX_UNREPEATABLE_IDLE_S + 0.2)
         got = await site.ask(hub, '/unsafe/a')
         assert got.status == 200, got.body
         assert target.connections == 2
@@ -57,25 +57,25 @@
 
 def test_the_kernel_asks_whether_a_silent_peer_is_there():
     with socket.socket() as sock:
-        upstream.watch_peer(sock)
+        upstream.enable_keepalive(sock)
         tcp = socket.IPPROTO_TCP
         silent_s = sock.getsockopt(tcp, socket.TCP_KEEPIDLE)
         silent_s += sock.getsockopt(
             tcp, socket.TCP_KEEPINTVL
         ) * sock.getsockopt(tcp, socket.TCP_KEEPCNT)
         assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
-    assert silent_s <= upstream.UNREPEATABLE_IDLE_S
+    assert silent_s <= upstream.MAX_UNREPEATABLE_IDLE_S
 
 
 def test_a_dead_path_takes_the_target_out_and_drops_what_is_kept(monkeypatch):
-    wires = []
+    opened = []
 
-    class Noted(wire.Wire):
+    class RecordingConnection(connection.Connection):
         def connection_made(self, transport):
             super().connection_made(transport)
-            wires.append((transport.get_extra_info('peername'), self))
+            opened.append((transport.get_extra_info('peername'), self))
 
-    monkeypatch.setattr(wire, 'Wire', Noted)
+    monkeypatch.setattr(connection, 'Connection', RecordingConnection)
 
     async def check(deployment):
         hub = await deployment.start_box()
@@ -86,9 +86,9 @@
         used.script = ['silent']
         work = asyncio.ensure_future(site.ask(hub, '/safe/a'))
         await site.wait_until(lambda: len(used.ran) == 2)
-        for peer, made in wires:
+        for peer, made in opened:
             if peer == used.address:
-                # As the kernel ends what is not acknowledged.
+                # As the kernel does if sent data stays unacknowledged.
                 made.connection_lost(TimeoutError(110, 'timed out'))
         assert (await work).status == 200
         assert hub.view.reach.list_failed() == [used.name]
