--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -35,7 +35,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `view`, `upstream`, `prober`, `beat`, `recorder`,
+        The box's parts: `view`, `upstream`, `prober`, `heartbeat`, `recorder`,
         `metrics`, `hearing`, `marks`, `clock`, `timer`.
     state : request_state.RequestState
         The request; the attempt updates it.
@@ -59,7 +59,7 @@
                 routes.may_repeat(self._state.work.route),
                 self._view.find_kept(self._state.work.service),
             )
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             reason = str(error)
             self._hub.prober.record_failed(self._plan.entry.name, reason)
             return outcomes.Unreached(reason)
@@ -74,7 +74,7 @@
         now = self._hub.clock()
         return (
             self._hub.timer.ran_since(self._planned_at)
-            and self._hub.beat.is_fresh(now)
+            and self._hub.heartbeat.is_fresh(now)
             and is_proved(self._view, now)
             and self._view.may_send(self._plan.entry, self._state.work, now)
             and not self._get_quarantine(now)
@@ -188,7 +188,7 @@
                 head = await self._exchange.read_head()
         except TimeoutError:
             return self._report_lost('silent', outcomes.Cause.SILENT)
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             return self._report_broken(error)
         self._record_version(head.version)
         self._record_notices(head)
@@ -206,7 +206,7 @@
         except TimeoutError:
             # The caller's deadline has passed, which isn't the target's fault.
             return outcomes.Lost('time_over', outcomes.Cause.TIME_OVER)
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             return self._report_broken(error)
         except stream_module.EventTooLong as error:
             return self._report_lost(str(error), outcomes.Cause.MALFORMED)
@@ -243,7 +243,7 @@
                 while await self._exchange.read_data():
                     pass
                 self._exchange.release()
-        except (TimeoutError, upstream_module.Broken):
+        except (TimeoutError, upstream_module.ExchangeError):
             self._exchange.abort()
         return outcomes.Rejected(head)
 
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -85,7 +85,7 @@
         self.view = view_module.View(
             place.domain, place.bounds, seed, place.regions
         )
-        self.beat = timing.Beat()
+        self.heartbeat = timing.Beat()
         self.client = httpclient.Client()
         self.store = store.Store(self.client, place.store, clock)
         self.hearing = hearing.Hearing(self)
@@ -178,13 +178,13 @@
     def _on_stall(self, stall):
         """Correct what is known for a stall of this process."""
         self.recorder.record('frozen', seconds=round(stall.seconds, 2))
-        self.beat.record(stall.now)
+        self.heartbeat.record(stall.now)
         absence.exclude_stall(self.view, stall.seconds, stall.now)
         self.sources.exclude_stall(stall.seconds)
         self.resumption.begin(stall)
 
     def _on_heartbeat(self, tick):
-        self.beat.record(tick.now)
+        self.heartbeat.record(tick.now)
         for name in self.view.fleet.tick(tick.now):
             self.recorder.record('target_down', target=name, sure=True)
             self.view.record_over(name, tick.now)
--- a/landingspool/gateway/metrics.py
+++ b/landingspool/gateway/metrics.py
@@ -144,7 +144,7 @@
         for name, age_s in ages_s.items():
             self.leaving_ages.labels(name).set(age_s)
 
-    def record_resting(self, left_s):
+    def record_backoffs(self, left_s):
         """Update the gauges of targets that asked this box for a back-off.
 
         Parameters
--- a/landingspool/gateway/resumption.py
+++ b/landingspool/gateway/resumption.py
@@ -13,7 +13,7 @@
 # Seconds after a stall for which a missing proof is attributed to the stall.
 RENEWAL_TIMEOUT_S = 0.5
 # Seconds after a stall in which only the input received during it is read.
-ARRIVED_S = 0.02
+PENDING_INPUT_S = 0.02
 # Share of its latency objective that a request may wait.  The other part is
 # for the target, or for the caller to return.
 MAX_WAIT_SHARE = 0.5
@@ -54,11 +54,11 @@
         """
         now = self._hub.timer.look()
         if self._resumed_at is not None:
-            left_s = self._resumed_at + ARRIVED_S - now
+            left_s = self._resumed_at + PENDING_INPUT_S - now
             if left_s > 0:
                 await asyncio.sleep(left_s)
 
-    async def wait_begun(self):
+    async def wait_for_stall(self):
         """Wait until this process has stalled."""
         await self._stall_begun.wait()
 
--- a/landingspool/gateway/upstream.py
+++ b/landingspool/gateway/upstream.py
@@ -48,7 +48,7 @@
 MAX_HEAD_BYTES = 32 * 1024
 
 
-class Broken(Exception):
+class ExchangeError(Exception):
     """A connection or an exchange with a target failed.
 
     Parameters
@@ -104,7 +104,7 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
             With `sent` false.
         """
         connection = self._take_idle(address, repeatable)
@@ -117,7 +117,7 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
             If the connection can't be opened.
         """
         connection = await self._connect(address)
@@ -183,7 +183,7 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
             With `sent` false, if it isn't established in time.
         """
         loop = asyncio.get_running_loop()
@@ -193,7 +193,7 @@
                     connection_module.Connection, *address
                 )
         except (OSError, TimeoutError) as error:
-            raise Broken(f'connect: {error!r}', False) from error
+            raise ExchangeError(f'connect: {error!r}', False) from error
         enable_keepalive(transport.get_extra_info('socket'))
         self._metrics.connections.inc()
         return connection
@@ -274,13 +274,13 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
         """
         event = await self._next()
         while isinstance(event, h11.InformationalResponse):
             event = await self._next()
         if not isinstance(event, h11.Response):
-            raise Broken('closed before an answer', True)
+            raise ExchangeError('closed before an answer', True)
         # The answer came before all of the request was sent.  The rest of
         # the body is still due, so that the connection can't be used again.
         self._answered_early = not self._connection.is_flushed
@@ -292,14 +292,14 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
         """
         event = await self._next()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return b''
-        raise Broken('the answer was cut off', True)
+        raise ExchangeError('the answer was cut off', True)
 
     @property
     def is_closed(self):
@@ -335,4 +335,4 @@
                 self._codec.receive_data(await self._connection.read())
         except (OSError, h11.ProtocolError) as error:
             silent = isinstance(error, connection_module.PeerSilent)
-            raise Broken(repr(error), True, silent) from error
+            raise ExchangeError(repr(error), True, silent) from error
