--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -212,14 +212,14 @@
             return self._report_lost(str(error), outcomes.Cause.MALFORMED)
 
     def _compute_timeout(self):
-        left = self._state.get_time_left(self._hub.clock())
+        left_s = self._state.get_time_left(self._hub.clock())
         if not self._state.may_send_again():
-            return left
+            return left_s
         objective_s = self._state.work.route.target_latency_s
         timeout_s = max(objective_s * TIMEOUT_RATIO, MIN_TIMEOUT_S)
         # The expected latency counts, too: where all targets are busy,
         # another one would not answer sooner.
-        return min(left, timeout_s + self._plan.expected_s * TIMEOUT_RATIO)
+        return min(left_s, timeout_s + self._plan.expected_s * TIMEOUT_RATIO)
 
     def _get_remaining_s(self):
         """Return the seconds until the request's deadline."""
@@ -252,11 +252,11 @@
         while data := await self._exchange.read_data():
             body += data
         self._exchange.release()
-        wait = self._hub.timer.measure_run(self._sent_at)
+        wait_s = self._hub.timer.measure_run(self._sent_at)
         # A target that asks for a back-off lacks free capacity and has said
         # for how long: that is no failure.
         failed = head.status >= 500 and not head.words.asks_rest
-        self._view.record_answer(self._plan, wait, failed)
+        self._view.record_answer(self._plan, wait_s, failed)
         return outcomes.Failed(head, bytes(body))
 
     async def _forward(self, head):
@@ -290,10 +290,10 @@
 
     async def _forward_stream(self, head):
         stream, name = self._open_stream(head), self._plan.entry.name
-        pause = MAX_STREAM_PAUSE_S if self._state.may_send_again() else None
+        pause_s = MAX_STREAM_PAUSE_S if self._state.may_send_again() else None
         while True:
             try:
-                async with patience.Limit(pause):
+                async with patience.Limit(pause_s):
                     data = await self._exchange.read_data()
             except TimeoutError:
                 return self._report_lost('paused', outcomes.Cause.PAUSED)
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -91,8 +91,12 @@
         self.hearing = hearing.Hearing(self)
         self.runners = runners.Runners(self.client, self.hearing)
         self.upstream = upstream.Upstream(self.metrics, clock)
-        most = max(place.descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTIONS)
-        self.listener = listener.Listener(self._handle, self._get_limits, most)
+        max_connections = max(
+            place.descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTIONS
+        )
+        self.listener = listener.Listener(
+            self._handle, self._get_limits, max_connections
+        )
         # Readiness for the balancer and metrics for engineers are at two
         # addresses.
         self._readiness_server = http.Server(self._answer_side_request)
--- a/landingspool/gateway/upstream.py
+++ b/landingspool/gateway/upstream.py
@@ -281,8 +281,8 @@
             event = await self._next()
         if not isinstance(event, h11.Response):
             raise ExchangeError('closed before an answer', True)
-        # The answer came before all of the request was sent.  The rest of
-        # the body is still due, so that the connection can't be used again.
+        # If the answer came before all of the request was sent, the rest of
+        # the body is still due: the connection can't be used again.
         self._answered_early = not self._connection.is_flushed
         self._head = answers.read_head(event.status_code, list(event.headers))
         return self._head
@@ -316,8 +316,12 @@
         if not clean or self._answered_early or head.closing:
             self._connection.close()
             return
-        named = head.kept_s
-        idle_s = DEFAULT_IDLE_S if named is None else named - IDLE_MARGIN_S
+        advertised_s = head.kept_s
+        idle_s = (
+            DEFAULT_IDLE_S
+            if advertised_s is None
+            else advertised_s - IDLE_MARGIN_S
+        )
         self._upstream.keep(
             self._address, self._connection, idle_s, self._max_idle
         )
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -184,7 +184,7 @@
     async def start_box(self, name='box1', seeds=(), **bounds):
         """Start a box and wait until it is ready."""
         ports = [http.Address('127.0.0.1', find_port()) for _ in range(3)]
-        place = deployment.Deployment(
+        settings = deployment.Deployment(
             box=name,
             domain='d1',
             callers=ports[0],
@@ -194,7 +194,7 @@
             store=self.store.address,
             bounds=deployment.Bounds(**bounds),
         )
-        hub = hub_module.Hub(place, 1)
+        hub = hub_module.Hub(settings, 1)
         self.hubs.append(hub)
         self._works.append(asyncio.ensure_future(hub.run()))
         await wait_until(lambda: hub.view.table is not None)
