--- a/landingspool/decisions/limiter.py
+++ b/landingspool/decisions/limiter.py
@@ -146,7 +146,7 @@
                 until = place.until + seconds
                 account.used[request] = place._replace(until=until)
 
-    def tick(self, limit_of, domains, now):
+    def tick(self, get_limit, domains, now):
         """Give the Borrow messages that are due, as (domain, message).
 
         Only the accounts that want places or live on borrowed ones are
@@ -159,7 +159,7 @@
             return asks
         for workspace in list(self._short):
             account = self._open(workspace, now)
-            limit = limit_of(workspace)
+            limit = get_limit(workspace)
             if limit:
                 asks += self._ask(workspace, account, limit, domains, now)
             if not account.wanted and not account.borrowed:
--- a/landingspool/decisions/placement.py
+++ b/landingspool/decisions/placement.py
@@ -34,7 +34,7 @@
 def survey(directory, work, version):
     """Look a request's pieces up under a weight version."""
     keys = name_pieces(work.pieces, version)
-    stored = directory.find_stored(keys)
+    stored = directory.list_stored(keys)
     return Survey(keys, stored, any(stored))
 
 
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -1,7 +1,7 @@
 """The pools that one box schedules: each with its scheduler, the keeper of
 its context, its rollout, and the right to give its targets orders."""
 
-from landingspool.decisions import keeper
+from landingspool.decisions import kv_offload
 from landingspool.decisions import messages
 from landingspool.decisions import outputs
 from landingspool.decisions import ownership
@@ -49,7 +49,9 @@
             owned.rooms = self._rooms.setdefault(model, {})
             self.schedulers[pool] = owned
             self._rollouts[pool] = rollout.Rollout()
-            self.keepers[pool] = keeper.Keeper(self._writer, self._retention)
+            self.keepers[pool] = kv_offload.Keeper(
+                self._writer, self._retention
+            )
         return owned
 
     def tick(self, table, now):
@@ -89,7 +91,7 @@
         contents : dict of str to stores.client.Contents
             By store; one that does not answer is left out.
         """
-        pools = max(self._roster.count_pools(), 1)
+        pools = max(self._roster.count_target_shards(), 1)
         rooms = {name: found.room // pools for name, found in contents.items()}
         actions = []
         for pool, kept in self.keepers.items():
--- a/landingspool/decisions/scheduler.py
+++ b/landingspool/decisions/scheduler.py
@@ -76,7 +76,7 @@
 
         Returns
         -------
-        list of Note
+        list of TimelineEvent
         """
         notes = []
         for member in members:
@@ -86,7 +86,7 @@
             target.member = member
             if member.leaving and target.mark_leaving(member.incarnation):
                 fields = {'target': member.name, 'source': 'live_list'}
-                notes.append(outputs.Note('leaving', fields))
+                notes.append(outputs.TimelineEvent('leaving', fields))
         known = {member.name for member in members}
         for name in [n for n in self.targets if n not in known]:
             del self.targets[name]
@@ -170,7 +170,7 @@
         if row is not None:
             self.queue.remove(row.work.workspace, request)
 
-    def adopt(self, announce, share_of, now):
+    def adopt(self, announce, get_share, now):
         """Take in what an entry box holds and waits for.
 
         This is how a scheduler that has just begun gets its state, and how
@@ -190,13 +190,13 @@
                 self._adopt_grant(held, now)
         for work in announce.waiting:
             if not self._knows(work.request):
-                self.queue.push(work, share_of(work.workspace))
+                self.queue.push(work, get_share(work.workspace))
                 row = records.Waiting(work, now - work.waited, now + work.left)
                 self._waiting[work.request] = row
         return unknown
 
     def report(self, report, now):
-        """Take in a load report; returns a list of Note."""
+        """Take in a load report; returns a list of TimelineEvent."""
         target = self.targets.get(report.target)
         if target is None:
             return []
@@ -207,7 +207,7 @@
             self.directory.forget_target(report.target)
         if target.is_leaving() and not leaving:
             fields = {'target': report.target, 'source': 'report'}
-            return [outputs.Note('leaving', fields)]
+            return [outputs.TimelineEvent('leaving', fields)]
         return []
 
     def resume(self, seconds, now):
@@ -236,7 +236,7 @@
 
         Returns
         -------
-        tuple of (list of Send, list of Note)
+        tuple of (list of Send, list of TimelineEvent)
         """
         # A slow link is tried again bit by bit: nobody would fetch over it,
         # and so nobody would learn that it has become fast.
@@ -470,7 +470,7 @@
             if target is not None:
                 target.end_flight(flight.grant, now)
             fields = {'request': flight.work.request, 'target': flight.target}
-            notes.append(outputs.Note('lapsed', fields))
+            notes.append(outputs.TimelineEvent('lapsed', fields))
         return notes
 
     def _end_well(self, target, flight, done, now):
