--- a/landingspool/decisions/admission.py
+++ b/landingspool/decisions/admission.py
@@ -1,7 +1,7 @@
-"""Whether a request may wait at all: registered policies.
+"""Admission policies that decide whether a request may be queued.
 
-A request that will not make its deadline only takes a place from one that
-would; it is told at once, with a time to come back.
+A request that cannot meet its deadline would only delay others that can.  It
+is refused at once, with a time after which to retry.
 """
 
 DEADLINE_SHARE = 0.95
@@ -10,7 +10,7 @@
 
 
 def policy(name):
-    """Register a policy under `name`; it tells whether to admit."""
+    """Register an admission policy under `name`."""
 
     def add(function):
         POLICIES[name] = function
@@ -21,21 +21,21 @@
 
 @policy('all')
 def admit_all(wait, work):
-    """Let everything wait: the baseline.
+    """Admit every request; the baseline.
 
-    What does not get its place is refused when its deadline has come.
+    A request that gets no slot is refused when its deadline expires.
     """
     return True
 
 
 @policy('estimate')
 def admit_by_estimate(wait, work):
-    """Let wait what is expected to start before its deadline.
+    """Admit a request that is expected to start before its deadline.
 
     Parameters
     ----------
     wait : float
-        Expected seconds in the queue.
+        Expected time in the queue, in seconds.
     work : records.Work
 
     >>> import collections
--- a/landingspool/decisions/clock.py
+++ b/landingspool/decisions/clock.py
@@ -1,22 +1,21 @@
-"""Hybrid logical clock: it orders events over processes.
+"""Hybrid logical clock that orders events across processes.
 
-A stamp is never behind the wall clock that it saw nor behind a stamp that
-was received, so that an effect is listed after its cause even when the
-clocks of two boxes differ.
+A stamp is never earlier than the local wall clock or any received stamp, so
+an effect is listed after its cause even if the clocks of two boxes differ.
 """
 
 import typing
 
 
 class Stamp(typing.NamedTuple):
-    """Milliseconds of the wall clock and a counter within them."""
+    """Wall-clock milliseconds and a counter for events within one of them."""
 
     millis: int
     count: int
 
 
 def advance(last, wall):
-    """Give the stamp of a local event at `wall` seconds.
+    """Return the stamp of a local event at `wall` seconds.
 
     >>> advance(Stamp(5, 0), 0.010)
     Stamp(millis=10, count=0)
@@ -29,10 +28,10 @@
     return Stamp(last.millis, last.count + 1)
 
 
-def merge(last, heard, wall):
-    """Give the stamp after a message with the stamp `heard` came in.
+def merge(last, received, wall):
+    """Return the stamp after a message with the stamp `received` arrives.
 
     >>> merge(Stamp(5, 0), Stamp(20, 3), 0.010)
     Stamp(millis=20, count=4)
     """
-    return advance(max(last, heard), wall)
+    return advance(max(last, received), wall)
--- a/landingspool/decisions/entry.py
+++ b/landingspool/decisions/entry.py
@@ -1,10 +1,10 @@
-"""What an entry box decides for the requests that it owns.
+"""Decisions of an entry box for the requests that it owns.
 
 It asks the limiter of the workspace and the scheduler of the pool at the
-same time, follows them when the view of the boxes changes, and hands each
-request one answer: a grant or a refusal.  When the box that should answer
-is silent it asks the next one in rank, in the end itself, so that no
-request waits for a box that has gone.
+same time, asks their successors when the membership changes, and gives each
+request one answer: a grant or a refusal.  If a box does not answer, it asks
+the next one in rank and finally itself, so that no request waits for a box
+that has failed.
 """
 
 import typing
@@ -16,15 +16,15 @@
 from landingspool.decisions import timing
 
 ANSWER_S = 0.4
-# What waits is told often, since a new scheduler must not lose it for
-# long; what is held only has to outlive its lease.
+# Waiting requests are announced often, so that a new scheduler soon has
+# them.  Grants only need to be renewed before their lease ends.
 ANNOUNCE_S = 2.0
 RENEW_S = 5.0
-MOST_ASKS = 8
+MAX_ASKS = 8
 SILENT_RETRY_AFTER_S = 2.0
 
 
-class Case(typing.NamedTuple):
+class TrackedRequest(typing.NamedTuple):
     """One request that this box owns.
 
     Attributes
@@ -33,36 +33,39 @@
     arrived, deadline : float
         Monotonic seconds.
     domain : str
-        Failure domain that is asked for a place.
-    asked : float
-        When the scheduler was last asked.
+        Failure domain that is asked for a slot.
+    asked_at : float
+        Monotonic time in seconds at which the scheduler was last asked.
     asks : int
-        How many boxes were asked in this domain without an answer.
+        Number of boxes in this domain that were asked and did not answer.
     scheduler : str
-        The box that was asked.
-    heard : bool
+        Box that was asked for a slot.
+    answered : bool
         Whether that box has answered.
     reserved : bool
-        Whether the limiter has admitted it.
+        Whether the limiter has admitted the request.
     limiter : str
-    limit_asked : float
+        Box that was asked for a permit.
+    limit_asked_at : float
+        Monotonic time in seconds at which the limiter was last asked.
     limit_asks : int
+        Number of limiters that were asked and did not answer.
     grant : messages.Grant or None
     returned : bool
-        Whether the last grant was given back, so that no scheduler holds
-        anything for it.
+        Whether the last grant was returned, so that no scheduler has state
+        of this request.
     """
 
     work: records.Work
     arrived: float
     deadline: float
     domain: str
-    asked: float
+    asked_at: float
     limiter: str
-    limit_asked: float
+    limit_asked_at: float
     asks: int = 0
     scheduler: str = ''
-    heard: bool = False
+    answered: bool = False
     reserved: bool = False
     limit_asks: int = 0
     grant: messages.Grant | None = None
@@ -70,295 +73,306 @@
 
 
 class Entry:
-    """The requests of one entry box.
+    """Requests owned by one entry box.
 
     Parameters
     ----------
     box, domain : str
     view : callable
-        ``view(domain)`` gives the boxes of a domain that are reckoned with.
+        ``view(domain)`` returns the boxes of a domain that are in use.
     shard : callable
-        ``shard(work, domain)`` gives the name of the shard for a request.
+        ``shard(work, domain)`` returns the name of the shard for a request.
     """
 
     def __init__(self, box, domain, view, shard):
         self.box = box
         self.domain = domain
-        self._view = view
-        self._shard = shard
-        self._cases = {}
-        self._announced = 0.0
-        self._renewed = 0.0
-        self._beat = timing.Beat()
+        self._get_view = view
+        self._get_shard = shard
+        self._tracked = {}
+        self._announced_at = 0.0
+        self._renewed_at = 0.0
+        self._heartbeat = timing.Beat()
 
     def __len__(self):
-        return len(self._cases)
+        return len(self._tracked)
 
     def open(self, work, now):
-        """Begin to ask for a place; returns a list of actions.
+        """Request a permit and a slot; return a list of actions.
 
-        `work` has `waited` and `left` as of `now`; each message carries
-        them as they are when it is sent.
+        `work` has `waited` and `left` as of `now`.  Each message carries
+        their values at the time it is sent.
         """
-        case = Case(
+        tracked = TrackedRequest(
             work=work,
             arrived=now - work.waited,
             deadline=now + work.left,
             domain=self.domain,
-            asked=now,
+            asked_at=now,
             limiter='',
-            limit_asked=now,
+            limit_asked_at=now,
         )
-        self._cases[work.request] = case
-        return [*self._reserve(case, now), *self._ask(work.request, now)]
+        self._tracked[work.request] = tracked
+        return [*self._reserve(tracked, now), *self._ask(work.request, now)]
 
     def ask_again(self, request, avoid, now):
-        """Ask for another place after one that could not be used."""
-        case = self._cases[request]
-        avoided = tuple(dict.fromkeys((*case.work.avoid, *avoid)))
-        work = case.work._replace(avoid=avoided, hops=0)
-        self._cases[request] = case._replace(
+        """Request another slot after one that could not be used."""
+        tracked = self._tracked[request]
+        avoided = tuple(dict.fromkeys((*tracked.work.avoid, *avoid)))
+        work = tracked.work._replace(avoid=avoided, hops=0)
+        self._tracked[request] = tracked._replace(
             work=work,
             grant=None,
             asks=0,
-            heard=False,
+            answered=False,
             returned=False,
             domain=self.domain,
         )
         return self._ask(request, now)
 
     def give_back(self, done, now):
-        """Return a place, used or not; the request itself stays open."""
-        case = self._cases.get(done.request)
-        if case is None:
+        """Return a grant, used or not; the request stays open."""
+        tracked = self._tracked.get(done.request)
+        if tracked is None:
             return []
-        self._cases[done.request] = case._replace(grant=None, returned=True)
-        return [outputs.Send(case.scheduler, done)]
+        self._tracked[done.request] = tracked._replace(
+            grant=None, returned=True
+        )
+        return [outputs.Send(tracked.scheduler, done)]
 
     def close(self, request, now):
-        """End a request: its place at the limiter is free again."""
-        case = self._cases.pop(request, None)
-        if case is None:
+        """End a request; release its permit and any grant."""
+        tracked = self._tracked.pop(request, None)
+        if tracked is None:
             return []
-        release = messages.Release(request, case.work.workspace)
-        sends = [outputs.Send(case.limiter, release)]
-        if case.grant is not None:
-            unused = make_unused(case.grant, case)
-            sends.append(outputs.Send(case.scheduler, unused))
-        elif not case.returned:
-            withdraw = messages.Withdraw(request, case.work.pool)
-            sends.append(outputs.Send(case.scheduler, withdraw))
+        release = messages.Release(request, tracked.work.workspace)
+        sends = [outputs.Send(tracked.limiter, release)]
+        if tracked.grant is not None:
+            unused = make_unused_done(tracked.grant, tracked)
+            sends.append(outputs.Send(tracked.scheduler, unused))
+        elif not tracked.returned:
+            withdraw = messages.Withdraw(request, tracked.work.pool)
+            sends.append(outputs.Send(tracked.scheduler, withdraw))
         return sends
 
     def handle(self, sender, message, now):
-        """Handle an answer; returns a list of actions."""
+        """Handle an answer; return a list of actions."""
         return HANDLERS[type(message)](self, sender, message, now)
 
     def tick(self, now):
-        """Ask again where nobody answered, follow moved owners, renew."""
-        self._beat.record(now)
+        """Repeat unanswered requests, follow moved owners and renew leases."""
+        self._heartbeat.record(now)
         actions = []
-        for request, case in list(self._cases.items()):
-            actions += self._follow(request, case, now)
-        renew = now - self._renewed >= RENEW_S
-        if renew or now - self._announced >= ANNOUNCE_S:
-            self._announced = now
+        for request, tracked in list(self._tracked.items()):
+            actions += self._follow_up(request, tracked, now)
+        renew = now - self._renewed_at >= RENEW_S
+        if renew or now - self._announced_at >= ANNOUNCE_S:
+            self._announced_at = now
             actions += self._announce(now, renew)
         if renew:
-            self._renewed = now
+            self._renewed_at = now
             actions += self._renew()
         return actions
 
     def resume(self, seconds):
-        """Leave out so many seconds in which this process did not run."""
-        for request, case in self._cases.items():
-            self._cases[request] = case._replace(
-                asked=case.asked + seconds,
-                limit_asked=case.limit_asked + seconds,
+        """Extend the answer time-outs by a stall of `seconds`."""
+        for request, tracked in self._tracked.items():
+            self._tracked[request] = tracked._replace(
+                asked_at=tracked.asked_at + seconds,
+                limit_asked_at=tracked.limit_asked_at + seconds,
             )
 
     def is_fresh(self, now):
-        """Tell whether this process ran all the time until `now`."""
-        return self._beat.is_fresh(now)
+        """Return whether this process has not stalled up to `now`."""
+        return self._heartbeat.is_fresh(now)
 
     def get_case(self, request):
-        """Give the Case of a request, or None."""
-        return self._cases.get(request)
+        """Return the TrackedRequest of a request, or None."""
+        return self._tracked.get(request)
 
     def _on_grant(self, sender, grant, now):
-        case = self._cases.get(grant.request)
-        if case is None or (case.grant and case.grant.grant != grant.grant):
-            return [outputs.Send(sender, make_unused(grant, case))]
-        if case.grant is not None:
+        tracked = self._tracked.get(grant.request)
+        if tracked is None or (
+            tracked.grant and tracked.grant.grant != grant.grant
+        ):
+            return [outputs.Send(sender, make_unused_done(grant, tracked))]
+        if tracked.grant is not None:
             return []
-        case = case._replace(grant=grant, scheduler=sender, heard=True)
-        self._cases[grant.request] = case
-        if not case.reserved:
+        tracked = tracked._replace(
+            grant=grant, scheduler=sender, answered=True
+        )
+        self._tracked[grant.request] = tracked
+        if not tracked.reserved:
             return []
         return [outputs.Decide(grant.request, grant)]
 
     def _on_refuse(self, sender, refuse, now):
-        case = self._cases.get(refuse.request)
-        if case is None or case.grant or sender != case.scheduler:
+        tracked = self._tracked.get(refuse.request)
+        if tracked is None or tracked.grant or sender != tracked.scheduler:
             return []
         return [outputs.Decide(refuse.request, refuse)]
 
     def _on_spill(self, sender, spill, now):
-        case = self._cases.get(spill.request)
-        if case is None or case.grant or sender != case.scheduler:
+        tracked = self._tracked.get(spill.request)
+        if tracked is None or tracked.grant or sender != tracked.scheduler:
             return []
-        work = case.work._replace(hops=case.work.hops + 1)
-        self._cases[spill.request] = case._replace(
-            work=work, domain=spill.domain, asks=0, heard=False
+        work = tracked.work._replace(hops=tracked.work.hops + 1)
+        self._tracked[spill.request] = tracked._replace(
+            work=work, domain=spill.domain, asks=0, answered=False
         )
         return self._ask(spill.request, now)
 
     def _on_queued(self, sender, queued, now):
-        case = self._cases.get(queued.request)
-        if case is not None and sender == case.scheduler:
-            self._cases[queued.request] = case._replace(heard=True)
+        tracked = self._tracked.get(queued.request)
+        if tracked is not None and sender == tracked.scheduler:
+            self._tracked[queued.request] = tracked._replace(answered=True)
         return []
 
     def _on_reserved(self, sender, reserved, now):
-        case = self._cases.get(reserved.request)
-        if case is None or case.reserved:
+        tracked = self._tracked.get(reserved.request)
+        if tracked is None or tracked.reserved:
             return []
         if not reserved.admitted:
             refuse = messages.Refuse(
                 reserved.request, 'limit', reserved.retry_after
             )
             return [outputs.Decide(reserved.request, refuse)]
-        self._cases[reserved.request] = case._replace(
+        self._tracked[reserved.request] = tracked._replace(
             reserved=True, limiter=sender
         )
-        if case.grant is None:
+        if tracked.grant is None:
             return []
-        return [outputs.Decide(reserved.request, case.grant)]
+        return [outputs.Decide(reserved.request, tracked.grant)]
 
     def _on_unknown(self, sender, unknown, now):
-        return self._announce_to(unknown.pool, sender, now, whole=True)
+        return self._announce_to(unknown.pool, sender, now, full=True)
 
     def _ask(self, request, now):
-        case = self._cases[request]
-        shard = self._shard(case.work, case.domain)
-        box = self._pick(shard, case.domain, case.asks)
+        tracked = self._tracked[request]
+        shard = self._get_shard(tracked.work, tracked.domain)
+        box = self._pick_box(shard, tracked.domain, tracked.asks)
         if box is None:
-            return self._lose_domain(request, case, now)
-        asked = case._replace(
-            work=case.work._replace(pool=shard),
+            return self._leave_domain(request, tracked, now)
+        updated = tracked._replace(
+            work=tracked.work._replace(pool=shard),
             scheduler=box,
-            asked=now,
-            heard=False,
+            asked_at=now,
+            answered=False,
         )
-        self._cases[request] = asked
-        sends = [outputs.Send(box, messages.Ask(refresh_work(asked, now)))]
-        if case.scheduler and case.scheduler != box:
-            withdraw = messages.Withdraw(request, case.work.pool)
-            sends.append(outputs.Send(case.scheduler, withdraw))
+        self._tracked[request] = updated
+        sends = [outputs.Send(box, messages.Ask(refresh_work(updated, now)))]
+        if tracked.scheduler and tracked.scheduler != box:
+            withdraw = messages.Withdraw(request, tracked.work.pool)
+            sends.append(outputs.Send(tracked.scheduler, withdraw))
         return sends
 
-    def _lose_domain(self, request, case, now):
-        # The other domain has no box left that we know of: back home.
-        if case.domain == self.domain:
+    def _leave_domain(self, request, tracked, now):
+        # No box of this domain is known any more.  Requests that were sent
+        # to another domain return to the local one.
+        if tracked.domain == self.domain:
             refuse = messages.Refuse(
                 request, 'no_scheduler', SILENT_RETRY_AFTER_S
             )
             return [outputs.Decide(request, refuse)]
-        self._cases[request] = case._replace(domain=self.domain, asks=0)
+        self._tracked[request] = tracked._replace(domain=self.domain, asks=0)
         return self._ask(request, now)
 
-    def _reserve(self, case, now):
-        work = case.work
-        box = self._pick(
-            name_account(work.workspace), self.domain, case.limit_asks
+    def _reserve(self, tracked, now):
+        work = tracked.work
+        box = self._pick_box(
+            name_account(work.workspace), self.domain, tracked.limit_asks
         )
         box = box or self.box
-        self._cases[work.request] = self._cases[work.request]._replace(
-            limiter=box, limit_asked=now
+        self._tracked[work.request] = self._tracked[work.request]._replace(
+            limiter=box, limit_asked_at=now
         )
         reserve = messages.Reserve(work.request, self.box, work.workspace)
         return [outputs.Send(box, reserve)]
 
-    def _pick(self, subject, domain, asks):
-        ranked = ownership.rank(subject, self._view(domain))
+    def _pick_box(self, subject, domain, asks):
+        ranked = ownership.rank(subject, self._get_view(domain))
         if not ranked:
             return None
         if domain == self.domain and asks >= 2:
             return self.box
         return ranked[min(asks, len(ranked) - 1)]
 
-    def _follow(self, request, case, now):
+    def _follow_up(self, request, tracked, now):
         actions = []
-        if not case.reserved and now - case.limit_asked >= ANSWER_S:
-            case = case._replace(limit_asks=case.limit_asks + 1)
-            self._cases[request] = case
-            actions += self._reserve(case, now)
-        case = self._cases[request]
-        if case.grant is not None:
+        if not tracked.reserved and now - tracked.limit_asked_at >= ANSWER_S:
+            tracked = tracked._replace(limit_asks=tracked.limit_asks + 1)
+            self._tracked[request] = tracked
+            actions += self._reserve(tracked, now)
+        tracked = self._tracked[request]
+        if tracked.grant is not None:
             return actions
-        if not case.heard and now - case.asked >= ANSWER_S:
-            return actions + self._ask_next(request, case, now)
-        if case.heard and self._has_moved(case):
-            self._cases[request] = case._replace(asks=0)
+        if not tracked.answered and now - tracked.asked_at >= ANSWER_S:
+            return actions + self._ask_next(request, tracked, now)
+        if tracked.answered and self._has_moved(tracked):
+            self._tracked[request] = tracked._replace(asks=0)
             return actions + self._ask(request, now)
         return actions
 
-    def _ask_next(self, request, case, now):
-        if case.asks >= MOST_ASKS:
+    def _ask_next(self, request, tracked, now):
+        if tracked.asks >= MAX_ASKS:
             refuse = messages.Refuse(
                 request, 'no_scheduler', SILENT_RETRY_AFTER_S
             )
             return [outputs.Decide(request, refuse)]
-        domain, asks = case.domain, case.asks + 1
+        domain, asks = tracked.domain, tracked.asks + 1
         if domain != self.domain and asks >= 2:
             domain, asks = self.domain, 0
-        self._cases[request] = case._replace(domain=domain, asks=asks)
+        self._tracked[request] = tracked._replace(domain=domain, asks=asks)
         return self._ask(request, now)
 
-    def _has_moved(self, case):
-        return case.scheduler not in self._view(case.domain)
+    def _has_moved(self, tracked):
+        return tracked.scheduler not in self._get_view(tracked.domain)
 
     def _announce(self, now, renew):
         boxes = {
-            (case.work.pool, case.scheduler)
-            for case in self._cases.values()
-            if renew or case.grant is None
+            (tracked.work.pool, tracked.scheduler)
+            for tracked in self._tracked.values()
+            if renew or tracked.grant is None
         }
         actions = []
         for pool, box in sorted(boxes):
             actions += self._announce_to(pool, box, now, renew=renew)
         return actions
 
-    def _announce_to(self, pool, box, now, whole=False, renew=True):
-        cases = [
-            case
-            for case in self._cases.values()
-            if case.work.pool == pool and case.scheduler == box
+    def _announce_to(self, pool, box, now, full=False, renew=True):
+        tracked_requests = [
+            tracked
+            for tracked in self._tracked.values()
+            if tracked.work.pool == pool and tracked.scheduler == box
         ]
         waiting = tuple(
-            refresh_work(c, now) for c in cases if c.grant is None and c.heard
+            refresh_work(c, now)
+            for c in tracked_requests
+            if c.grant is None and c.answered
         )
-        granted = [case for case in cases if renew and case.grant]
+        granted = [
+            tracked for tracked in tracked_requests if renew and tracked.grant
+        ]
         held = ()
-        if whole:
+        if full:
             held = tuple(
                 messages.Held(
-                    refresh_work(case, now),
-                    case.grant.grant,
-                    case.grant.target,
+                    refresh_work(tracked, now),
+                    tracked.grant.grant,
+                    tracked.grant.target,
                 )
-                for case in granted
+                for tracked in granted
             )
-        renewed = tuple(case.grant.grant for case in granted)
+        renewed = tuple(tracked.grant.grant for tracked in granted)
         announce = messages.Announce(self.box, pool, held, waiting, renewed)
         return [outputs.Send(box, announce)]
 
     def _renew(self):
         boxes = {}
-        for request, case in self._cases.items():
-            if case.reserved:
-                rows = boxes.setdefault(case.limiter, {})
-                rows.setdefault(case.work.workspace, []).append(request)
+        for request, tracked in self._tracked.items():
+            if tracked.reserved:
+                rows = boxes.setdefault(tracked.limiter, {})
+                rows.setdefault(tracked.work.workspace, []).append(request)
         return [
             outputs.Send(
                 box,
@@ -371,21 +385,21 @@
         ]
 
 
-def refresh_work(case, now):
-    """Give the work of a case with its durations as of now."""
-    return case.work._replace(
-        waited=now - case.arrived, left=case.deadline - now
+def refresh_work(tracked, now):
+    """Return the work of a request with its durations as of `now`."""
+    return tracked.work._replace(
+        waited=now - tracked.arrived, left=tracked.deadline - now
     )
 
 
 def name_account(workspace):
-    """Give the name under which a workspace's limiter is hashed."""
+    """Return the name that is hashed to find a workspace's limiter."""
     return f'limit/{workspace}'
 
 
-def make_unused(grant, case):
-    """Give the Done that returns a grant which nobody wants."""
-    pool = case.work.pool if case else ''
+def make_unused_done(grant, tracked):
+    """Return the Done message for a grant that is not used."""
+    pool = tracked.work.pool if tracked else ''
     return messages.Done(
         grant.request, grant.grant, 'unused', 0, 0, 0, pool, 0.0
     )
--- a/landingspool/decisions/fairness.py
+++ b/landingspool/decisions/fairness.py
@@ -1,14 +1,13 @@
-"""Who is served next: a weighted fair queue with bounded priorities.
+"""Weighted fair queue with priority classes that cannot starve.
 
-Each workspace has a counter of the service it got, in tokens divided by
-its weight, and the waiting workspace with the lowest counter goes next.  A
-workspace that returns from idle is lifted to the lowest counter in use, so
-that nobody saves up credit.  A higher class goes first, but every
-LOW_CLASS_EVERY-th place goes to the lowest class that waits, so that none
-starves.
+Each workspace has a counter of the service it received, in tokens divided by
+its weight.  The waiting workspace with the lowest counter is served next.
+The counter of a workspace that was idle is raised to the lowest counter in
+use, so that idle time earns no credit.  Higher classes are served first, but
+every LOW_CLASS_EVERY-th request is taken from the lowest waiting class.
 
 Source: Sheng et al., "Fairness in Serving Large Language Models", 2024
-(token counters that are lifted on return).
+(token counters that are raised when a client returns).
 """
 
 import collections
@@ -19,14 +18,14 @@
 
 LOW_CLASS_EVERY = 10
 OUTPUT_COST = 2.0
-FIRST_OUTPUT_GUESS = 64.0
+INITIAL_OUTPUT_TOKENS = 64.0
 OUTPUT_SMOOTHING = 0.2
 
 CHARGES = {}
 
 
 def charge(name):
-    """Register a way of charging for output of unknown length."""
+    """Register a method to charge for output of unknown length."""
 
     def add(function):
         CHARGES[name] = function
@@ -43,7 +42,7 @@
 
 @charge('reserve')
 def charge_reservation(prompt_tokens, expected_output):
-    """Charge the expected output now and settle it at the end.
+    """Charge the expected output at the start and settle at the end.
 
     Source: the reservation ledger of Prakash and Sahoo, "Budgets as code
     with Flyte, OpenLineage, and Marquez", 2026.
@@ -52,7 +51,7 @@
 
 
 def measure_cost(prompt_tokens, output_tokens):
-    """Give the service that a finished request used, in tokens.
+    """Return the service used by a finished request, in tokens.
 
     >>> measure_cost(100, 10)
     120.0
@@ -61,7 +60,7 @@
 
 
 class Share(typing.NamedTuple):
-    """What the queue has to know of a workspace's row."""
+    """Weight and priority class of a workspace."""
 
     weight: float
     priority: int
@@ -69,7 +68,7 @@
 
 @functools.lru_cache(maxsize=4096)
 def make_share(weight, priority):
-    """Give the Share of a row; kept, since rows seldom change."""
+    """Return the Share of a row; cached, since rows rarely change."""
     return Share(weight, priority)
 
 
@@ -79,7 +78,7 @@
     Parameters
     ----------
     charge : str
-        Name of a registered way of charging.
+        Name of a registered charging method.
     """
 
     def __init__(self, charge='reserve'):
@@ -97,18 +96,18 @@
         self.length = 0
 
     def push(self, work, share):
-        """Put a request behind those of its workspace."""
+        """Append a request to the queue of its workspace."""
         name = work.workspace
         self._set_share(name, share)
         if not self._waiting[name]:
             if not self._pending[name]:
                 self._served[name] = max(self._served[name], self._floor)
-            self._enter(name)
+            self._activate(name)
         self._waiting[name][work.request] = work
         self.length += 1
 
     def pop(self):
-        """Take the request that goes next, or None."""
+        """Remove and return the next request, or None."""
         name = self._find_next()
         if name is None:
             return None
@@ -117,23 +116,23 @@
         return self.remove(name, request)
 
     def remove(self, workspace, request):
-        """Take out one request; returns it, or None if it is not there."""
+        """Remove and return a request, or None if it is not queued."""
         rows = self._waiting.get(workspace)
         work = rows.pop(request, None) if rows else None
         if work is None:
             return None
         self.length -= 1
         if not rows:
-            self._leave(workspace)
+            self._deactivate(workspace)
             del self._waiting[workspace]
         return work
 
     def find(self, workspace, request):
-        """Give a waiting request, or None."""
+        """Return a waiting request, or None."""
         return self._waiting.get(workspace, {}).get(request)
 
     def reserve(self, workspace, prompt_tokens):
-        """Charge for a request that starts; returns what was charged."""
+        """Charge for a request that starts; return the amount in tokens."""
         expected = self.expect_output(workspace)
         amount = self._charge(prompt_tokens, expected)
         self._pending[workspace] += 1
@@ -141,26 +140,26 @@
         return amount
 
     def settle(self, workspace, charged, prompt_tokens, output_tokens):
-        """Replace what was charged by what was used."""
+        """Replace the charge for a request by its actual cost."""
         used = measure_cost(prompt_tokens, output_tokens)
         self._pending[workspace] -= 1
         if self._pending[workspace] <= 0:
             del self._pending[workspace]
         if output_tokens:
             guess = self.expect_output(workspace)
-            learnt = guess + OUTPUT_SMOOTHING * (output_tokens - guess)
-            self._output[workspace] = learnt
+            updated = guess + OUTPUT_SMOOTHING * (output_tokens - guess)
+            self._output[workspace] = updated
         self._add(workspace, used - charged)
 
     def expect_output(self, workspace):
-        """Give the expected length of an answer, in tokens."""
-        return self._output.get(workspace, FIRST_OUTPUT_GUESS)
+        """Return the expected length of an answer, in tokens."""
+        return self._output.get(workspace, INITIAL_OUTPUT_TOKENS)
 
     def count_ahead(self, workspace, share):
-        """Estimate how many requests are served before a new one.
+        """Estimate the number of requests served before a new one.
 
-        A workspace's own queue is served at its share of the pool, so a
-        flood of one makes itself wait and not the others.
+        The queue of a workspace is served at its share of the pool, so a
+        burst of one workspace delays itself and not the others.
         """
         own = len(self._waiting.get(workspace, ()))
         weights = sum(self._weights.values())
@@ -169,7 +168,7 @@
         return min(own * weights / share.weight, self.length)
 
     def get_served(self, workspace):
-        """Give the counter of a workspace, in tokens over weight."""
+        """Return the counter of a workspace, in tokens over weight."""
         return self._served[workspace]
 
     def _set_share(self, name, share):
@@ -178,10 +177,10 @@
             return
         waits = bool(self._waiting.get(name))
         if waits:
-            self._leave(name)
+            self._deactivate(name)
         self._shares[name] = share
         if waits:
-            self._enter(name)
+            self._activate(name)
 
     def _add(self, name, amount):
         share = self._shares.get(name)
@@ -189,15 +188,15 @@
             return
         self._served[name] += amount / share.weight
         if self._waiting.get(name):
-            self._offer(name)
+            self._push_heap(name)
 
-    def _enter(self, name):
+    def _activate(self, name):
         share = self._shares[name]
         self._counts[share.priority] += 1
         self._weights[share.priority] += share.weight
-        self._offer(name)
+        self._push_heap(name)
 
-    def _leave(self, name):
+    def _deactivate(self, name):
         share = self._shares[name]
         self._counts[share.priority] -= 1
         self._weights[share.priority] -= share.weight
@@ -206,9 +205,9 @@
             del self._weights[share.priority]
             self._heaps.pop(share.priority, None)
 
-    def _offer(self, name):
-        # An entry is pushed at each change and the outdated ones are
-        # thrown away when they come up, which is cheaper than a search.
+    def _push_heap(self, name):
+        # Each change pushes a new entry.  Outdated entries are discarded
+        # when they reach the top, which is cheaper than a search.
         entry = (self._served[name], name)
         heapq.heappush(self._heaps[self._shares[name].priority], entry)
 
--- a/landingspool/decisions/lack.py
+++ b/landingspool/decisions/lack.py
@@ -1,22 +1,22 @@
-"""How long a pool has been without a target that may be used.
+"""Tracking of how long a pool has had no usable target.
 
-A scheduler that has just begun, or whose process did not run for a time, has
-reports of no target or old ones, though all may be sound: requests wait for
-a moment then, while the targets are asked.  Otherwise a new request is
-answered at once, and who waits already as soon as the lack has lasted.
+A scheduler that has just started, or whose process has stalled, has no load
+reports or only old ones, even if all targets are healthy.  Requests are then
+queued for a short time while the targets are polled.  Otherwise new requests
+are refused at once, and queued ones as soon as the shortage has lasted.
 """
 
-# Seconds for which targets are waited for.
+# How long to wait for load reports of targets.
 SETTLE_S = 1.0
 
 
 class Lack:
-    """The lack of usable targets in one pool.
+    """Shortage of usable targets in one pool.
 
     Parameters
     ----------
     now : float
-        When the scheduler began.
+        Start of the scheduler, in monotonic seconds.
     """
 
     def __init__(self, now):
@@ -24,11 +24,11 @@
         self._since = None
 
     def resume(self, now):
-        """Wait for the targets anew, after a time without running."""
+        """Wait for the targets again after a stall of the process."""
         self._settles_until = now + SETTLE_S
 
     def is_settling(self, targets, now):
-        """Tell whether a target may still be heard that can be used.
+        """Return whether a usable target may still report.
 
         >>> Lack(1.0).is_settling([], 1.5), Lack(1.0).is_settling([], 2.0)
         (True, False)
@@ -38,10 +38,10 @@
         return not targets or any(not t.is_leaving() for t in targets)
 
     def has_lasted(self, usable, targets, now):
-        """Tell whether those who wait have waited for long enough.
+        """Return whether queued requests have waited long enough for a target.
 
-        >>> lack = Lack(1.0)
-        >>> [lack.has_lasted([], [], now) for now in (1.5, 2.0, 2.5)]
+        >>> shortage = Lack(1.0)
+        >>> [shortage.has_lasted([], [], now) for now in (1.5, 2.0, 2.5)]
         [False, False, True]
         """
         if usable:
--- a/landingspool/decisions/limiter.py
+++ b/landingspool/decisions/limiter.py
@@ -1,13 +1,13 @@
-"""A workspace's request limit, held exactly inside a failure domain.
-
-The limit is split into a floor for each domain.  A domain that needs more
-borrows from another for a term, and the lender counts the lent places as
-used until the term has surely ended at the borrower: the borrower's clock
-starts when it asks, the lender's when it lends, which is later.  So the
-allotments never add up to more than the limit, also in a cut, and with no
-third party.  What a cut can do is keep a request running past the term of
-the loan that it was admitted under; the overshoot is at most what was lent
-at the time of the cut.
+"""Limiter of the concurrent requests of a workspace in a failure domain.
+
+The limit is split into a floor of permits for each domain.  A domain that
+needs more borrows permits from another for a term.  The lender counts them as
+used until the term has certainly ended at the borrower: the borrower's term
+starts when it asks, the lender's when it lends, which is later.  The
+allotments therefore never add up to more than the limit, even during a
+network partition and without a third party.  During a partition, a request
+may run past the term of the loan it was admitted under; the overshoot is at
+most the number of permits lent when the partition began.
 """
 
 import collections
@@ -20,22 +20,26 @@
 TERM_S = 10.0
 LENDER_MARGIN_S = 2.0
 RENEW_S = 5.0
-HOLD_LEASE_S = 15.0
+PERMIT_LEASE_S = 15.0
 ASK_PERIOD_S = 0.25
 ASK_AHEAD = 1
-SWEEP = 8
-ASKS_KEPT = int(TERM_S / ASK_PERIOD_S) + 1
+SWEEP_BATCH = 8
+MAX_RECORDED_ASKS = int(TERM_S / ASK_PERIOD_S) + 1
 
 
-class Place(typing.NamedTuple):
-    """A place in use: who holds it and until when it counts."""
+class Permit(typing.NamedTuple):
+    """Permit in use by a request.
+
+    `entry` is the entry box that holds it; `until` the monotonic time in
+    seconds until which it counts unless renewed.
+    """
 
     entry: str
     until: float
 
 
 class Loan(typing.NamedTuple):
-    """Places lent or borrowed, counted until `until`."""
+    """Permits lent to or borrowed from `peer`, counted until `until`."""
 
     loan: str
     peer: str
@@ -44,31 +48,43 @@
 
 
 class Account:
-    """The places of one workspace in one domain."""
+    """Permits of one workspace in one domain.
+
+    Attributes
+    ----------
+    used : dict of str to Permit
+        By request.
+    loans_out, loans_in : list of Loan
+        Permits lent and borrowed.
+    wanted : int
+        Requests refused since permits were last asked for.
+    asked : float
+        Monotonic time in seconds at which permits were last asked for.
+    """
 
     def __init__(self):
         self.used = {}
-        self.lent = []
-        self.borrowed = []
+        self.loans_out = []
+        self.loans_in = []
         self.wanted = 0
         self.asked = float('-inf')
 
     def expire(self, now):
-        """Drop loans and places whose time is over."""
-        self.lent = [loan for loan in self.lent if loan.until > now]
-        self.borrowed = [row for row in self.borrowed if row.until > now]
+        """Remove expired loans and permits."""
+        self.loans_out = [loan for loan in self.loans_out if loan.until > now]
+        self.loans_in = [row for row in self.loans_in if row.until > now]
         for request in [r for r, p in self.used.items() if p.until <= now]:
             del self.used[request]
 
     def allot(self, floor):
-        """Give the number of places that this domain may use now."""
-        lent = sum(loan.amount for loan in self.lent)
-        borrowed = sum(loan.amount for loan in self.borrowed)
-        return floor - lent + borrowed
+        """Return the number of permits that this domain may use now."""
+        lent_permits = sum(loan.amount for loan in self.loans_out)
+        borrowed_permits = sum(loan.amount for loan in self.loans_in)
+        return floor - lent_permits + borrowed_permits
 
 
 def split_limit(limit, domains):
-    """Give each domain's floor; they add up to the limit.
+    """Return the floor of each domain; the floors add up to the limit.
 
     >>> split_limit(10, ('a', 'b', 'c'))
     {'a': 4, 'b': 3, 'c': 3}
@@ -82,13 +98,13 @@
 
 
 class Limiter:
-    """Admits requests of the workspaces that this box is responsible for.
+    """Limiter of the workspaces that this box is responsible for.
 
     Parameters
     ----------
     domain, box : str
     rng : random.Random
-        For the spread of Retry-After and for loan ids.
+        For the jitter of Retry-After and for loan ids.
     """
 
     def __init__(self, domain, box, rng):
@@ -113,7 +129,7 @@
             return messages.Reserved(request, True, 0.0)
         floor = split_limit(limit, domains)[self.domain]
         if len(account.used) < account.allot(floor):
-            account.used[request] = Place(entry, now + HOLD_LEASE_S)
+            account.used[request] = Permit(entry, now + PERMIT_LEASE_S)
             return messages.Reserved(request, True, 0.0)
         account.wanted += 1
         self._short.add(workspace)
@@ -121,37 +137,37 @@
         return messages.Reserved(request, False, after)
 
     def release(self, request, workspace):
-        """Take a place back."""
+        """Release the permit of a request."""
         account = self._accounts.get(workspace)
         if account is not None:
             account.used.pop(request, None)
 
     def renew(self, entry, workspace, requests, now):
-        """Keep the places of a living entry box; also adopts them.
+        """Renew the permits that an entry box holds, or adopt them.
 
-        A limiter that has just begun learns in this way what is in use.
+        A limiter that has just started learns the permits in use this way.
         """
         account = self._open(workspace, now)
         for request in requests:
-            account.used[request] = Place(entry, now + HOLD_LEASE_S)
+            account.used[request] = Permit(entry, now + PERMIT_LEASE_S)
 
     def resume(self, seconds):
-        """Leave out so many seconds in which this process did not run.
+        """Extend the leases of permits by a stall of `seconds`.
 
-        The entry boxes may have renewed their places meanwhile.  Loans count
-        on: their terms are kept by both sides.
+        Entry boxes may have sent renewals during the stall.  Loans are not
+        extended, because both sides count their terms.
         """
         for account in self._accounts.values():
-            for request, place in account.used.items():
-                until = place.until + seconds
-                account.used[request] = place._replace(until=until)
+            for request, permit in account.used.items():
+                until = permit.until + seconds
+                account.used[request] = permit._replace(until=until)
 
     def tick(self, limit_of, domains, now):
-        """Give the Borrow messages that are due, as (domain, message).
+        """Return the Borrow messages that are due, as (domain, message).
 
-        Only the accounts that want places or live on borrowed ones are
-        looked at; the others expire when they are used, and a part of
-        them is swept at each tick.
+        Only accounts that want or have borrowed permits are processed.  The
+        others expire when they are used, and a part of them is swept at
+        each tick.
         """
         self._sweep(now)
         asks = []
@@ -162,37 +178,37 @@
             limit = limit_of(workspace)
             if limit:
                 asks += self._ask(workspace, account, limit, domains, now)
-            if not account.wanted and not account.borrowed:
+            if not account.wanted and not account.loans_in:
                 self._short.discard(workspace)
         return asks
 
     def _sweep(self, now):
         if not self._to_sweep:
             self._to_sweep = list(self._accounts)
-        for _ in range(min(SWEEP, len(self._to_sweep))):
+        for _ in range(min(SWEEP_BATCH, len(self._to_sweep))):
             workspace = self._to_sweep.pop()
             account = self._accounts.get(workspace)
             if account is None:
                 continue
             account.expire(now)
-            if not any((account.used, account.lent, account.borrowed)):
+            if not any((account.used, account.loans_out, account.loans_in)):
                 if not account.wanted:
                     del self._accounts[workspace]
 
     def lend(self, borrow, limit, domains, now):
-        """Answer a Borrow: half of the idle places, or None."""
+        """Return a loan of up to half of the idle permits, or None."""
         account = self._open(borrow.workspace, now)
         floor = split_limit(limit, domains)[self.domain]
         idle = account.allot(floor) - len(account.used)
-        own = floor - sum(loan.amount for loan in account.lent)
-        # Only own places are lent, never borrowed ones: a chain of loans
-        # would outlive the term of its first.
+        own = floor - sum(loan.amount for loan in account.loans_out)
+        # Borrowed permits are not lent on: a chain of loans would outlive
+        # the term of the first.
         amount = min(borrow.amount, max(idle + 1, 0) // 2, max(own, 0))
         if amount <= 0:
             return None
         loan = f'{self.box}.{next(self._loans)}.{self._rng.getrandbits(32):x}'
         until = now + TERM_S + LENDER_MARGIN_S
-        account.lent.append(Loan(loan, borrow.domain, amount, until))
+        account.loans_out.append(Loan(loan, borrow.domain, amount, until))
         return messages.Lend(
             borrow.workspace,
             loan,
@@ -203,29 +219,29 @@
         )
 
     def borrowed(self, lend, now):
-        """Take in a Lend; its term counts from when it was asked for."""
+        """Accept a loan, whose term counts from the time of the request."""
         account = self._open(lend.workspace, now)
-        if any(loan.loan == lend.loan for loan in account.borrowed):
+        if any(loan.loan == lend.loan for loan in account.loans_in):
             return
-        # The term counts from the very ask that is answered, and only asks
-        # of this process are known: an answer that was late by several
-        # asks, or that an earlier start of this box had asked for, would
-        # else be used for longer than the lender counts it.
+        # The term counts from the Borrow that is answered, and only those
+        # of this process are known.  Otherwise an answer that is delayed by
+        # several requests, or that belongs to an earlier run of this box,
+        # would be used for longer than the lender counts it.
         asks = self._asks.get((lend.workspace, lend.domain), ())
         until = lend.asked + lend.term
         if lend.asked not in asks or until <= now:
             return
         loan = Loan(lend.loan, lend.domain, lend.amount, until)
-        account.borrowed.append(loan)
+        account.loans_in.append(loan)
         self._short.add(lend.workspace)
 
     def count_used(self, workspace):
-        """Give the places in use."""
+        """Return the number of permits in use."""
         account = self._accounts.get(workspace)
         return len(account.used) if account else 0
 
     def get_allotment(self, workspace, limit, domains, now):
-        """Give the places that this domain may use now."""
+        """Return the number of permits that this domain may use now."""
         account = self._open(workspace, now)
         return account.allot(split_limit(limit, domains)[self.domain])
 
@@ -241,7 +257,7 @@
         short = len(account.used) + account.wanted - floor
         lasting = sum(
             loan.amount
-            for loan in account.borrowed
+            for loan in account.loans_in
             if loan.until > now + RENEW_S
         )
         need = short + ASK_AHEAD - lasting
@@ -256,7 +272,7 @@
                 continue
             key = workspace, domain
             if key not in self._asks:
-                self._asks[key] = collections.deque(maxlen=ASKS_KEPT)
+                self._asks[key] = collections.deque(maxlen=MAX_RECORDED_ASKS)
             self._asks[key].append(now)
             message = messages.Borrow(workspace, self.domain, need, now)
             asks.append((domain, message))
--- a/landingspool/decisions/placement.py
+++ b/landingspool/decisions/placement.py
@@ -1,8 +1,8 @@
-"""What a place at each target would mean for one request.
+"""Estimates of what a slot at each target would mean for one request.
 
-The names of kept context hold the weight version, so the pieces of a
-request are named once for each version among the targets, and looked up
-once in the stores; only the caches are looked up target by target.
+Keys of cached context contain the weight version.  The keys of a request are
+therefore computed, and looked up in the stores, once for each version among
+the targets.  Only the caches are looked up for each target.
 """
 
 import typing
@@ -13,17 +13,17 @@
 FETCH_S_PER_BLOCK = 0.03
 
 
-class Survey(typing.NamedTuple):
-    """Where a request's context is, under one weight version.
+class ContextLocation(typing.NamedTuple):
+    """Location of a request's cached context for one weight version.
 
     Attributes
     ----------
     keys : tuple of str
-        Names of its pieces under the version.
+        Keys of its pieces for the version.
     stored : list of directory.Stored or None
-        What the stores have of each piece.
+        Stored block of each piece, None if no store has it.
     any_stored : bool
-        Whether they have any.
+        Whether any piece is stored.
     """
 
     keys: tuple
@@ -31,37 +31,39 @@
     any_stored: bool
 
 
-def survey(directory, work, version):
-    """Look a request's pieces up under a weight version."""
+def locate_context(directory, work, version):
+    """Look up the pieces of a request for a weight version."""
     keys = name_pieces(work.pieces, version)
     stored = directory.find_stored(keys)
-    return Survey(keys, stored, any(stored))
+    return ContextLocation(keys, stored, any(stored))
 
 
 def name_pieces(pieces, version):
-    """Name pieces under a weight version."""
+    """Return the keys of pieces for a weight version."""
     return tuple(identity.add_version(piece, version) for piece in pieces)
 
 
-def make_view(target, directory, found, free, price_s):
-    """Give the view of a target for the routing policies.
+def make_view(target, directory, located, free, fetch_s_per_block):
+    """Return the view of a target for the routing policies.
 
     Parameters
     ----------
     target : pool.Target
     directory : directory.Directory
-    found : Survey
+    located : ContextLocation
     free : int
-        Places left.
-    price_s : float
-        Seconds that the fetch of a block is taken for.
+        Number of free slots.
+    fetch_s_per_block : float
+        Expected seconds to fetch one block.
     """
     name = target.member.name
-    cached = directory.count_cached(name, found.keys)
-    fetchable = count_run(found.stored, cached) if found.any_stored else 0
+    cached = directory.count_cached(name, located.keys)
+    fetchable = (
+        count_consecutive(located.stored, cached) if located.any_stored else 0
+    )
     report = target.report
-    # By position: this is built for each target at each decision, and
-    # keywords take half as long again.
+    # Positional arguments: a view is built for each target at each
+    # decision, and keyword arguments take half as long again.
     return routing.View(
         name,
         free,
@@ -71,15 +73,15 @@
         report.prefill,
         cached * identity.PIECE_TOKENS,
         fetchable * identity.PIECE_TOKENS,
-        fetchable * price_s,
+        fetchable * fetch_s_per_block,
         target.slowness,
     )
 
 
-def count_run(stored, start):
-    """Count the stored pieces that follow each other from `start` on.
+def count_consecutive(stored, start):
+    """Count the consecutive stored pieces from `start` on.
 
-    >>> count_run([None, 'a', 'b', None, 'c'], 1)
+    >>> count_consecutive([None, 'a', 'b', None, 'c'], 1)
     2
     """
     count = 0
@@ -90,10 +92,10 @@
     return count
 
 
-def list_fetch(work, view, found):
+def list_blocks_to_fetch(work, view, located):
     """List the blocks to fetch for a request at the chosen target."""
     if not routing.wants_fetch(work, view):
         return ()
     start = view.cached // identity.PIECE_TOKENS
     count = view.fetchable // identity.PIECE_TOKENS
-    return tuple(item.block for item in found.stored[start : start + count])
+    return tuple(item.block for item in located.stored[start : start + count])
--- a/landingspool/decisions/policies.py
+++ b/landingspool/decisions/policies.py
@@ -1,10 +1,31 @@
-"""What a deployment has chosen for its schedulers."""
+"""Settings of a deployment for its schedulers."""
 
 import typing
 
 
 class Policy(typing.NamedTuple):
-    """What a deployment has chosen for its schedulers."""
+    """Scheduler settings of a deployment.
+
+    Attributes
+    ----------
+    routing : str
+        Name of a policy in `routing`.
+    charge : str
+        Name of a way of charging in `fairness`.
+    link_price_s : float
+        Seconds added to the expected fetch time of each block, to account
+        for the load on the link.
+    grant_lease_s : float
+        Seconds after which a grant that is not renewed is taken back.
+    decision_age_s : float
+        Seconds after a grant within which it may be used.
+    seed : int
+        Seed of the random choices.
+    admission : str
+        Name of a policy in `admission`.
+    backlog_s : float
+        Most seconds of prefill that may wait at a target; 0 for no bound.
+    """
 
     routing: str = 'earliest'
     charge: str = 'reserve'
--- a/landingspool/decisions/pool.py
+++ b/landingspool/decisions/pool.py
@@ -1,9 +1,9 @@
-"""The targets of one pool as its scheduler sees them.
+"""State of the targets of one pool as known to its scheduler.
 
-Load reports lag, so the load of a target is its last report plus what was
-granted since it was made.  A target that is leaving gets nothing new: the
-mark comes from the live list, from its own report or from a peer, and it
-sticks for that incarnation of the target.
+Load reports lag, so the load of a target is its last report plus the grants
+made since.  A target that is leaving gets no new requests.  It is marked as
+leaving by the live list, its own report or a peer, and the mark is permanent
+for that incarnation of the target.
 """
 
 import typing
@@ -13,20 +13,34 @@
 from landingspool.decisions import retries
 
 SLOWNESS_SMOOTHING = 0.2
-SLOWNESS_LEAST = 0.5
-SLOWNESS_MOST = 20.0
-REPORT_OLD_S = 5.0
-BUSY_HALF_S = 2.0
-BUSY_LEAST_S = 0.8
+MIN_SLOWNESS = 0.5
+MAX_SLOWNESS = 20.0
+MAX_REPORT_AGE_S = 5.0
+BUSY_HALF_LIFE_S = 2.0
+MIN_BUSY_S = 0.8
 HOLD_SMOOTHING = 0.1
-FIRST_HOLD_S = 1.0
-LEAST_HOLD_S = 0.02
+INITIAL_HOLD_S = 1.0
+MIN_HOLD_S = 0.02
 
 
 class Flight(typing.NamedTuple):
-    """A grant that was not given back yet.
+    """Grant that has not been returned yet.
 
-    `keys` names the pieces of its prompt under the target's version.
+    Attributes
+    ----------
+    grant : str
+    work : records.Work
+    target : str
+    since, until : float
+        Start of the grant and end of its lease, in monotonic seconds.
+    charged : float
+        Tokens charged to the workspace.
+    compute : int
+        Prompt tokens that the target has to compute.
+    keys : tuple of str
+        Keys of the prompt's pieces for the weight version of the target.
+    message : messages.Grant or None
+        Message sent to the entry box; None for an adopted grant.
     """
 
     grant: str
@@ -40,99 +54,101 @@
     message: messages.Grant | None = None
 
 
-class Busy(typing.NamedTuple):
-    """Time in which a target was busy, and the tokens it worked off.
+class BusyTime(typing.NamedTuple):
+    """Busy time of a target in seconds, and prompt tokens processed in it.
 
-    Both fade, so that they tell of the last few seconds.
+    Both decay exponentially, so that they cover the last few seconds.
     """
 
     seconds: float = 0.0
     tokens: float = 0.0
 
 
-def add_busy(busy, seconds, tokens):
-    """Add a busy time to what fades."""
-    left = 0.5 ** (seconds / BUSY_HALF_S)
-    return Busy(busy.seconds * left + seconds, busy.tokens * left + tokens)
+def add_busy_time(busy, seconds, tokens):
+    """Return the decayed busy time plus a new interval."""
+    fraction = 0.5 ** (seconds / BUSY_HALF_LIFE_S)
+    return BusyTime(
+        busy.seconds * fraction + seconds, busy.tokens * fraction + tokens
+    )
 
 
 class Target:
-    """What is known of one target.
+    """State of one target.
 
-    `heard` is the monotonic time of its last report, `made` the time at
-    which that report was made.
+    `received_at` is the monotonic time at which the last report arrived,
+    `made_at` the time at which the target made it.
     """
 
     def __init__(self, member):
         self.member = member
         self.report = None
-        self.heard = float('-inf')
-        self.made = float('-inf')
+        self.received_at = float('-inf')
+        self.made_at = float('-inf')
         self.flights = {}
         self.breaker = retries.Breaker()
         self.slowness = 1.0
-        self.left = set()
-        self.hold = FIRST_HOLD_S
+        self.leaving_incarnations = set()
+        self.hold_s = INITIAL_HOLD_S
         self._ended = []
-        self._busy = Busy()
-        self._others = 0
-        self._since = 0
+        self._busy = BusyTime()
+        self._others_running = 0
+        self._granted_since_report = 0
 
     @property
     def incarnation(self):
-        """The incarnation that the newest source names."""
+        """Incarnation named by the last report."""
         return self.report.incarnation if self.report else ''
 
-    def describe_cache(self):
-        """Give what its cache belongs to: incarnation and version."""
+    def get_cache_identity(self):
+        """Return the incarnation and version that its cache belongs to."""
         if self.report is None:
             return None
         return self.report.incarnation, self.report.version
 
     def mark_leaving(self, incarnation):
-        """Keep new work from an incarnation, for good.
+        """Exclude an incarnation from new requests permanently.
 
         Returns
         -------
         bool
-            Whether this was news.
+            Whether the incarnation was not marked before.
         """
-        news = incarnation not in self.left
-        self.left.add(incarnation)
-        return news
+        is_new = incarnation not in self.leaving_incarnations
+        self.leaving_incarnations.add(incarnation)
+        return is_new
 
     def is_leaving(self):
-        """Tell whether the present incarnation is leaving."""
-        return self.incarnation in self.left
+        """Return whether the current incarnation is leaving."""
+        return self.incarnation in self.leaving_incarnations
 
-    def take_report(self, report, now):
-        """Take in a load report; returns whether it says anything new."""
-        made = now - report.age
-        if made <= self.made and report.incarnation == self.incarnation:
+    def record_report(self, report, now):
+        """Record a load report; return whether it is newer than the last."""
+        made_at = now - report.age
+        if made_at <= self.made_at and report.incarnation == self.incarnation:
             return False
         if self.report and report.incarnation != self.incarnation:
             self.slowness = 1.0
             self.breaker = retries.Breaker()
-            self._busy = Busy()
+            self._busy = BusyTime()
         elif self.report:
-            self._record_progress(report, made)
+            self._record_progress(report, made_at)
         self.report = report
-        self.made = made
-        self.heard = now
-        self._compare_flights()
+        self.made_at = made_at
+        self.received_at = now
+        self._update_counts()
         if report.leaving:
             self.mark_leaving(report.incarnation)
         return True
 
     def is_usable(self, now):
-        """Tell whether it may get new work."""
-        if self.report is None or now - self.heard > REPORT_OLD_S:
+        """Return whether the target may get new requests."""
+        if self.report is None or now - self.received_at > MAX_REPORT_AGE_S:
             return False
         return self.report.ready and not self.is_leaving()
 
     def count_free(self, now):
-        """Give the number of places left, after all that was granted."""
-        free = self.report.slots - self._others - len(self.flights)
+        """Return the number of free slots after all grants."""
+        free = self.report.slots - self._others_running - len(self.flights)
         if self.breaker.state != retries.CLOSED:
             allowed, self.breaker = retries.allow(
                 self.breaker, now, len(self.flights)
@@ -141,85 +157,89 @@
         return free
 
     def measure_backlog(self):
-        """Give the prompt tokens before the next request.
+        """Return the number of prompt tokens ahead of a new request.
 
-        What was granted after the report was made is not in it yet.  What
-        the target has worked off since is left in: taking it out at the
-        target's usual speed was tried, and sent too little work on.
+        Requests granted after the report was made are added to it.  Tokens
+        processed since then are not subtracted: an estimate at the nominal
+        speed of the target would spill too little work to other domains.
         """
-        return self.report.queued_tokens + self._since
+        return self.report.queued_tokens + self._granted_since_report
 
-    def measure_seconds(self):
-        """Give the seconds of prefill before the next request."""
+    def measure_backlog_s(self):
+        """Return the seconds of prefill ahead of a new request."""
         rate = self.report.prefill / self.slowness
         return self.measure_backlog() / rate
 
-    def add_flight(self, flight):
-        """Note a grant for this target."""
+    def add_grant(self, flight):
+        """Record a grant for this target."""
         known = flight.grant in self.flights
         self.flights[flight.grant] = flight
-        if not known and flight.since >= self.made:
-            self._since += flight.compute
+        if not known and flight.since >= self.made_at:
+            self._granted_since_report += flight.compute
 
-    def end_flight(self, grant, now):
-        """Take a grant off the target."""
+    def end_grant(self, grant, now):
+        """Remove a grant from this target."""
         flight = self.flights.pop(grant, None)
         if flight is None:
             return
         self._ended.append((flight.since, now, flight.compute))
-        if flight.since >= self.made:
-            self._since -= flight.compute
+        if flight.since >= self.made_at:
+            self._granted_since_report -= flight.compute
 
-    def learn(self, held):
-        """Learn from a finished request how long it held its place."""
-        self.hold += HOLD_SMOOTHING * (held - self.hold)
+    def record_hold(self, held):
+        """Record how long a finished request held its slot, in seconds."""
+        self.hold_s += HOLD_SMOOTHING * (held - self.hold_s)
 
-    def _record_progress(self, report, made):
-        # Between two reports with work waiting at both ends the target was
-        # busy all the time, and what it worked off says how fast it is,
-        # long before a slow request has ended.
+    def _record_progress(self, report, made_at):
+        # If work was queued at both of two reports, the target was busy in
+        # between.  The tokens it processed then give its speed, long before
+        # a slow request has finished.
         if not self.report.queued_tokens or not report.queued_tokens:
             return
-        seconds = made - self.made
+        seconds = made_at - self.made_at
         rows = [(f.since, f.compute) for f in self.flights.values()]
         rows += [(since, compute) for since, _, compute in self._ended]
-        came = sum(c for since, c in rows if self.made <= since < made)
-        worked = self.report.queued_tokens + came - report.queued_tokens
-        self._busy = add_busy(self._busy, seconds, max(worked, 0))
-        if self._busy.seconds < BUSY_LEAST_S:
+        arrived = sum(
+            c for since, c in rows if self.made_at <= since < made_at
+        )
+        processed = self.report.queued_tokens + arrived - report.queued_tokens
+        self._busy = add_busy_time(self._busy, seconds, max(processed, 0))
+        if self._busy.seconds < MIN_BUSY_S:
             return
-        usual = report.prefill * self._busy.seconds
-        ratio = usual / max(self._busy.tokens, usual / SLOWNESS_MOST)
-        ratio = max(ratio, SLOWNESS_LEAST)
+        expected = report.prefill * self._busy.seconds
+        ratio = expected / max(self._busy.tokens, expected / MAX_SLOWNESS)
+        ratio = max(ratio, MIN_SLOWNESS)
         self.slowness += SLOWNESS_SMOOTHING * (ratio - self.slowness)
 
-    def _compare_flights(self):
-        # Worked out once for each report and not for each decision.  What
-        # ran beyond our own flights of that time was placed by another
-        # scheduler.  A flight counts from its grant to its end here, both
-        # of which are a little wider than at the target, so the error is
-        # on the side of using the target.
-        made = self.made
-        self._ended = [row for row in self._ended if row[1] >= made]
+    def _update_counts(self):
+        # Computed once for each report and not for each decision.  Running
+        # requests beyond our own grants of that time were placed by another
+        # scheduler.  A grant counts here slightly longer than the request
+        # runs at the target, so the free capacity is overestimated rather
+        # than underestimated.
+        made_at = self.made_at
+        self._ended = [row for row in self._ended if row[1] >= made_at]
         flights = self.flights.values()
-        ours = sum(1 for flight in flights if flight.since < made)
-        ours += sum(1 for since, _, _ in self._ended if since < made)
-        self._others = max(self.report.running - ours, 0)
-        self._since = sum(f.compute for f in flights if f.since >= made)
+        own = sum(1 for flight in flights if flight.since < made_at)
+        own += sum(1 for since, _, _ in self._ended if since < made_at)
+        self._others_running = max(self.report.running - own, 0)
+        self._granted_since_report = sum(
+            f.compute for f in flights if f.since >= made_at
+        )
 
 
 def measure_rate(targets, compute):
-    """Give the requests a second that some targets can take.
+    """Return the number of requests a second that targets can process.
 
-    Either their places are scarce or their prefill is, whichever of the
-    two lets fewer through.
+    It is limited by their slots or by their prefill speed, whichever
+    allows fewer.
 
     Parameters
     ----------
     targets : sequence of Target
     compute : float
-        Prompt tokens that a request has computed, in the mean.
+        Mean number of prompt tokens computed for a request.
     """
-    slots = sum(t.report.slots / max(t.hold, LEAST_HOLD_S) for t in targets)
+    slots = sum(t.report.slots / max(t.hold_s, MIN_HOLD_S) for t in targets)
     prefill = sum(t.report.prefill / t.slowness for t in targets)
     return min(slots, prefill / max(compute, 1.0))
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -1,5 +1,9 @@
-"""The pools that one box schedules: each with its scheduler, the keeper of
-its context, its rollout, and the right to give its targets orders."""
+"""Pools scheduled by one box.
+
+Each pool has a scheduler, a keeper that exports its cached context to the
+stores, a rollout of weight versions, and a lease on sending orders to its
+targets.
+"""
 
 from landingspool.decisions import keeper
 from landingspool.decisions import messages
@@ -13,7 +17,7 @@
 
 
 class Pools:
-    """What one box schedules.
+    """Pools scheduled by one box.
 
     Parameters
     ----------
@@ -38,167 +42,179 @@
         self._rooms = {}
 
     def open(self, pool, now):
-        """Give the scheduler of a shard; begins one where there is none."""
-        owned = self.schedulers.get(pool)
-        if owned is None:
+        """Return the scheduler of a shard, creating it if necessary."""
+        pool_scheduler = self.schedulers.get(pool)
+        if pool_scheduler is None:
             model, domain, _ = ownership.split_pool(pool)
-            owned = scheduler.Scheduler(
+            pool_scheduler = scheduler.Scheduler(
                 model, domain, self.box, self._policy, now
             )
-            owned.set_members(self._roster.list_targets(pool))
-            owned.rooms = self._rooms.setdefault(model, {})
-            self.schedulers[pool] = owned
+            pool_scheduler.set_members(self._roster.list_targets(pool))
+            pool_scheduler.rooms = self._rooms.setdefault(model, {})
+            self.schedulers[pool] = pool_scheduler
             self._rollouts[pool] = rollout.Rollout()
             self.keepers[pool] = keeper.Keeper(self._writer, self._retention)
-        return owned
+        return pool_scheduler
 
     def tick(self, table, now):
-        """Do what is due in all pools; returns a list of actions."""
-        # A pool is opened by its owner before the first request, so that
-        # other domains hear of its room.
+        """Run the periodic work of all pools; return a list of actions."""
+        # The owner opens a pool before the first request, so that other
+        # domains receive a summary of its free capacity.
         for pool in self._roster.list_owned():
             self.open(pool, now)
         actions = []
-        for pool, owned in list(self.schedulers.items()):
-            sends, notes = owned.tick(now)
+        for pool, pool_scheduler in list(self.schedulers.items()):
+            sends, notes = pool_scheduler.tick(now)
             actions += [*sends, *notes]
-            if self._roster.find_owner(pool, owned.domain) == self.box:
-                actions += self._plan_orders(pool, owned, table, now)
+            if (
+                self._roster.find_owner(pool, pool_scheduler.domain)
+                == self.box
+            ):
+                actions += self._plan_orders(pool, pool_scheduler, table, now)
             else:
-                self._retire(pool, owned, now)
+                self._retire(pool, pool_scheduler, now)
         return actions
 
     def resume(self, seconds, now):
-        """Go on after so many seconds in which this process did not run."""
-        for owned in self.schedulers.values():
-            owned.resume(seconds, now)
+        """Extend leases and summaries by a stall of `seconds`."""
+        for pool_scheduler in self.schedulers.values():
+            pool_scheduler.resume(seconds, now)
         for rooms in self._rooms.values():
-            for domain, heard in rooms.items():
-                rooms[domain] = heard._replace(at=heard.at + seconds)
+            for domain, received in rooms.items():
+                rooms[domain] = received._replace(
+                    received_at=received.received_at + seconds
+                )
 
     def set_members(self):
-        """Take in a changed live list."""
-        for pool, owned in self.schedulers.items():
-            owned.set_members(self._roster.list_targets(pool))
+        """Apply a changed live list."""
+        for pool, pool_scheduler in self.schedulers.items():
+            pool_scheduler.set_members(self._roster.list_targets(pool))
 
     def set_stores(self, contents, now):
-        """Take in what the stores hold; returns a list of actions.
+        """Apply the contents of the stores; return a list of actions.
 
         Parameters
         ----------
         contents : dict of str to stores.client.Contents
-            By store; one that does not answer is left out.
+            By store, without the stores that did not answer.
         """
         pools = max(self._roster.count_pools(), 1)
-        rooms = {name: found.room // pools for name, found in contents.items()}
+        capacities = {
+            name: found.room // pools for name, found in contents.items()
+        }
         actions = []
-        for pool, kept in self.keepers.items():
-            kept.set_stores(rooms)
+        for pool, pool_keeper in self.keepers.items():
+            pool_keeper.set_stores(capacities)
             offers = self.schedulers[pool].directory
             for found in contents.values():
                 rows = [row for name, row in found.rows if name == pool]
-                actions += kept.adopt(rows, offers, now)
+                actions += pool_keeper.adopt(rows, offers, now)
         return actions
 
     def report(self, report, now):
-        """Take in a load report; returns a list of actions."""
+        """Record a load report; return a list of actions."""
         actions = []
-        for owned in self.schedulers.values():
-            actions += owned.report(report, now)
+        for pool_scheduler in self.schedulers.values():
+            actions += pool_scheduler.report(report, now)
         return actions
 
     def mark_leaving(self, target, incarnation):
-        """Keep new work from an incarnation of a target."""
-        for owned in self.schedulers.values():
-            if target in owned.targets:
-                owned.targets[target].mark_leaving(incarnation)
+        """Exclude an incarnation of a target from new requests."""
+        for pool_scheduler in self.schedulers.values():
+            if target in pool_scheduler.targets:
+                pool_scheduler.targets[target].mark_leaving(incarnation)
 
     def list_polled(self):
-        """List the targets whose load reports this box wants."""
+        """List the targets whose load reports this box polls."""
         found = {
             name: target.member
-            for owned in self.schedulers.values()
-            for name, target in owned.targets.items()
+            for pool_scheduler in self.schedulers.values()
+            for name, target in pool_scheduler.targets.items()
         }
         return list(found.values())
 
     def is_busy(self, target):
-        """Tell whether a target has work of this box's schedulers."""
-        for owned in self.schedulers.values():
-            known = owned.targets.get(target)
+        """Return whether a target has grants of this box or no report yet."""
+        for pool_scheduler in self.schedulers.values():
+            known = pool_scheduler.targets.get(target)
             if known is not None and (known.flights or known.report is None):
                 return True
         return False
 
     def may_order(self, command, now):
-        """Tell whether this box may still send an order of a pool."""
+        """Return whether this box may still send an order of a pool."""
         holder = self.holders.get(command.pool)
         if holder is None:
             return False
         return rollout.may_order(holder, command.member.checks_fences, now)
 
     def finish(self, done, shares, now):
-        """Take a place back; what is worth keeping is exported."""
-        owned = self.schedulers.get(done.pool)
-        if owned is None:
+        """Process a returned grant; export context worth storing."""
+        pool_scheduler = self.schedulers.get(done.pool)
+        if pool_scheduler is None:
             return []
-        flight = owned.flights.get(done.grant)
-        actions = owned.finish(done, now)
+        flight = pool_scheduler.flights.get(done.grant)
+        actions = pool_scheduler.finish(done, now)
         if done.outcome != 'ok' or flight is None:
             return actions
-        target = owned.targets.get(flight.target)
-        kept = self.keepers[done.pool]
-        more = kept.plan(flight, target, owned.directory, shares, now)
+        target = pool_scheduler.targets.get(flight.target)
+        pool_keeper = self.keepers[done.pool]
+        more = pool_keeper.plan(
+            flight, target, pool_scheduler.directory, shares, now
+        )
         return [*actions, *more]
 
     def end_export(self, export, block, shares, now):
-        """Take in what became of an export; returns a list of actions.
+        """Process the result of an export; return a list of actions.
 
         Parameters
         ----------
         export : keeper.Export
         block : records.Block or None
-            The sealed block; None where the write failed.
+            The sealed block; None if the write failed.
         shares : dict of str to float
         now : float
         """
-        owned = self.schedulers.get(export.pool)
-        if owned is None:
+        pool_scheduler = self.schedulers.get(export.pool)
+        if pool_scheduler is None:
             return []
-        kept = self.keepers[export.pool]
+        pool_keeper = self.keepers[export.pool]
         if block is None:
-            actions = kept.failed(export.key, export.store, now)
+            actions = pool_keeper.failed(export.key, export.store, now)
         else:
-            actions = kept.sealed(
-                export.key, block, owned.directory, export.workspace
+            actions = pool_keeper.sealed(
+                export.key, block, pool_scheduler.directory, export.workspace
             )
-        return [*actions, *kept.work(owned.directory, shares, now)]
+        return [
+            *actions,
+            *pool_keeper.work(pool_scheduler.directory, shares, now),
+        ]
 
     def drop_blocks(self, pool, keys):
-        """Take blocks off the offer that failed their check, for good.
+        """Withdraw blocks that failed their check, permanently.
 
-        Their writes are freed and never offered again: what the store says
-        of them now may be made up from the very bytes that are wrong.
+        Their writes are freed and never offered again: the store may derive
+        its current answers about them from the corrupt bytes.
         """
-        owned = self.schedulers.get(pool)
-        if owned is None:
+        pool_scheduler = self.schedulers.get(pool)
+        if pool_scheduler is None:
             return []
-        found = [owned.directory.get_stored(key) for key in keys]
-        owned.directory.record_freed(keys)
+        found = [pool_scheduler.directory.get_stored(key) for key in keys]
+        pool_scheduler.directory.record_freed(keys)
         failed = [stored.block for stored in found if stored is not None]
         return self.keepers[pool].reject(failed)
 
     def record_summary(self, summary, now):
-        """Take in another domain's summary."""
+        """Record a summary from another domain."""
         for room in summary.rooms:
             rooms = self._rooms.setdefault(room.model, {})
-            rooms[summary.domain] = spill.Heard(room, now)
+            rooms[summary.domain] = spill.ReceivedRoom(room, now)
 
     def summarize(self, now):
-        """Tell the other domains of the pools that have targets."""
+        """Send summaries of pools with targets to the other domains."""
         actions = []
-        for owned in self.schedulers.values():
-            room = owned.summarize(now)
+        for pool_scheduler in self.schedulers.values():
+            room = pool_scheduler.summarize(now)
             if not room.targets:
                 continue
             summary = messages.Summary(self.domain, (room,))
@@ -214,30 +230,34 @@
         }
         return [outputs.Send(box, summary) for box in sorted(boxes - {None})]
 
-    def _plan_orders(self, pool, owned, table, now):
+    def _plan_orders(self, pool, pool_scheduler, table, now):
         holder = self.holders.get(pool)
         if holder is None:
             self.holders[pool] = rollout.take_over(now)
         else:
             self.holders[pool] = rollout.renew(holder, now)
         orders = self._rollouts[pool].plan(
-            table.versions.get(owned.model, ''),
+            table.versions.get(pool_scheduler.model, ''),
             table.offset,
-            list(owned.targets.values()),
+            list(pool_scheduler.targets.values()),
             self.holders[pool],
             now,
         )
         return [
-            outputs.Command(order, owned.targets[order.target].member, pool)
+            outputs.Command(
+                order, pool_scheduler.targets[order.target].member, pool
+            )
             for order in orders
         ]
 
-    def _retire(self, pool, owned, now):
-        # Another box gives the orders now; if the turn comes back, this
-        # one waits like any successor.
+    def _retire(self, pool, pool_scheduler, now):
+        # Another box sends the orders now.  If the pool returns to this box,
+        # it waits for the lease like any successor.
         self.holders.pop(pool, None)
-        idle = not owned.flights and not owned.count_waiting()
-        if idle and now - owned.started > IDLE_S:
+        idle = (
+            not pool_scheduler.flights and not pool_scheduler.count_waiting()
+        )
+        if idle and now - pool_scheduler.started > IDLE_S:
             del self.schedulers[pool]
             del self._rollouts[pool]
             del self.keepers[pool]
--- a/landingspool/decisions/request.py
+++ b/landingspool/decisions/request.py
@@ -1,9 +1,10 @@
-"""The life of one request at its entry box, as a state table.
+"""State machine of one request at its entry box.
 
-The verdict of every answer is read off the state: until the first byte of
-a dispatch is handed to the network the request has not run, and from there
-on it may have, unless the target's protocol says that it did not start.
-What is not in the table can't happen silently: it raises `Unexpected`.
+The verdict of an answer, i.e. whether the request was executed, follows from
+the state.  A request has not run until the first byte of a dispatch is passed
+to the network.  From then on it may have run, unless the target reports that
+it did not start.  A transition that is missing from the table raises
+`UnexpectedSignal`.
 """
 
 import enum
@@ -18,7 +19,7 @@
 
 
 class State(enum.Enum):
-    """Where a request is."""
+    """Stage of a request."""
 
     NEW = 'new'
     CLAIMING = 'claiming'
@@ -31,7 +32,7 @@
 
 
 class Signal(enum.Enum):
-    """What can happen to a request."""
+    """Event that moves a request to another state."""
 
     START = 'start'
     START_CLAIM = 'start_claim'
@@ -51,118 +52,130 @@
     CALLER_GONE = 'caller_gone'
 
 
-class Unexpected(Exception):
-    """A signal that the state table has no row for: a fault of ours."""
+class UnexpectedSignal(Exception):
+    """A signal that the state table does not allow; an internal error."""
 
 
 class Life(typing.NamedTuple):
-    """The state of one request.
+    """State of one request.
 
     Attributes
     ----------
-    state : State
     repeatable : bool
+        Whether the request may be executed more than once.
+    state : State
     verdict : Verdict
-        What is known of its execution if it ended now.
-    before : Verdict
-        The verdict before the present try, which comes back when the
-        target says that this try did not start.
+        Verdict on the execution if the request ended now.
+    previous_verdict : Verdict
+        Verdict before the current attempt.  It is restored if the target
+        reports that this attempt did not start.
     tokens : int
-        Tokens handed to the caller so far.
+        Number of tokens delivered to the caller so far.
     tries : int
-        How often it was dispatched.
+        Number of dispatches.
     """
 
     repeatable: bool
     state: State = State.NEW
     verdict: Verdict = NOT_RUN
-    before: Verdict = NOT_RUN
+    previous_verdict: Verdict = NOT_RUN
     tokens: int = 0
     tries: int = 0
 
 
-def _to(state):
-    return lambda life: life._replace(state=state)
+def _move_to(state):
+    return lambda current: current._replace(state=state)
 
 
-def _send(life):
-    return life._replace(
+def _send(current):
+    return current._replace(
         state=State.SENT,
         verdict=MAY_HAVE_RUN,
-        before=life.verdict,
-        tries=life.tries + 1,
+        previous_verdict=current.verdict,
+        tries=current.tries + 1,
     )
 
 
-def _not_started(life):
-    # The target says that this try did not start.  An earlier try of a
-    # repeatable request may have: its verdict stays.
-    return life._replace(state=State.ASKING, verdict=life.before)
+def _not_started(current):
+    # Only the current attempt did not start.  An earlier attempt of a
+    # repeatable request may have run, so its verdict is restored.
+    return current._replace(
+        state=State.ASKING, verdict=current.previous_verdict
+    )
 
 
-def _token(life):
-    return life._replace(state=State.STREAMING, tokens=life.tokens + 1)
+def _token(current):
+    return current._replace(state=State.STREAMING, tokens=current.tokens + 1)
 
 
-def _end(life):
-    return life._replace(state=State.DONE, verdict=RAN)
+def _end(current):
+    return current._replace(state=State.DONE, verdict=RAN)
 
 
-_ANY_WAIT = (State.NEW, State.CLAIMING, State.ASKING, State.GRANTED)
-_ANY_RUN = (State.SENT, State.STREAMING, State.BROKEN)
+_BEFORE_DISPATCH = (State.NEW, State.CLAIMING, State.ASKING, State.GRANTED)
+_DISPATCHED = (State.SENT, State.STREAMING, State.BROKEN)
 
 TABLE = {
-    (State.NEW, Signal.START): _to(State.ASKING),
-    (State.NEW, Signal.START_CLAIM): _to(State.CLAIMING),
-    (State.CLAIMING, Signal.CLAIM_WON): _to(State.ASKING),
-    (State.CLAIMING, Signal.CLAIM_FAILED): _to(State.DONE),
-    (State.ASKING, Signal.GRANT): _to(State.GRANTED),
-    (State.ASKING, Signal.REFUSE): _to(State.DONE),
-    (State.GRANTED, Signal.STALE): _to(State.ASKING),
+    (State.NEW, Signal.START): _move_to(State.ASKING),
+    (State.NEW, Signal.START_CLAIM): _move_to(State.CLAIMING),
+    (State.CLAIMING, Signal.CLAIM_WON): _move_to(State.ASKING),
+    (State.CLAIMING, Signal.CLAIM_FAILED): _move_to(State.DONE),
+    (State.ASKING, Signal.GRANT): _move_to(State.GRANTED),
+    (State.ASKING, Signal.REFUSE): _move_to(State.DONE),
+    (State.GRANTED, Signal.STALE): _move_to(State.ASKING),
     (State.GRANTED, Signal.SEND): _send,
     (State.SENT, Signal.NOT_STARTED): _not_started,
     (State.SENT, Signal.TOKEN): _token,
     (State.SENT, Signal.END): _end,
-    (State.SENT, Signal.CUT): _to(State.BROKEN),
+    (State.SENT, Signal.CUT): _move_to(State.BROKEN),
     (State.STREAMING, Signal.TOKEN): _token,
     (State.STREAMING, Signal.END): _end,
-    (State.STREAMING, Signal.CUT): _to(State.BROKEN),
-    (State.BROKEN, Signal.RESUME): _to(State.STREAMING),
-    (State.BROKEN, Signal.RETRY): _to(State.ASKING),
-    **{(s, Signal.GIVE_UP): _to(State.DONE) for s in _ANY_WAIT + _ANY_RUN},
-    **{(s, Signal.CALLER_GONE): _to(State.DONE) for s in _ANY_WAIT + _ANY_RUN},
+    (State.STREAMING, Signal.CUT): _move_to(State.BROKEN),
+    (State.BROKEN, Signal.RESUME): _move_to(State.STREAMING),
+    (State.BROKEN, Signal.RETRY): _move_to(State.ASKING),
+    **{
+        (s, Signal.GIVE_UP): _move_to(State.DONE)
+        for s in _BEFORE_DISPATCH + _DISPATCHED
+    },
+    **{
+        (s, Signal.CALLER_GONE): _move_to(State.DONE)
+        for s in _BEFORE_DISPATCH + _DISPATCHED
+    },
 }
 
 
-def advance(life, signal):
-    """Give the life of a request after a signal.
+def advance(current, signal):
+    """Return the state of a request after a signal.
 
     Raises
     ------
-    Unexpected
-        If the table has no row for the signal in this state.
+    UnexpectedSignal
+        If the table has no transition for the signal in this state, or if
+        a retry might execute non-repeatable work twice.
 
-    >>> life = Life(repeatable=False)
+    >>> current = Life(repeatable=False)
     >>> for signal in (Signal.START, Signal.GRANT, Signal.SEND):
-    ...     life = advance(life, signal)
-    >>> life.state.value, life.verdict.value
+    ...     current = advance(current, signal)
+    >>> current.state.value, current.verdict.value
     ('sent', 'may_have_run')
     """
-    step = TABLE.get((life.state, signal))
+    step = TABLE.get((current.state, signal))
     if step is None:
-        raise Unexpected(f'{signal.value} in state {life.state.value}')
-    if signal is Signal.RETRY and not may_retry(life):
-        raise Unexpected('retry of what must not run twice')
-    return step(life)
+        raise UnexpectedSignal(
+            f'{signal.value} in state {current.state.value}'
+        )
+    if signal is Signal.RETRY and not may_retry(current):
+        raise UnexpectedSignal('retry of a request that must not run twice')
+    return step(current)
 
 
-def may_retry(life):
-    """Tell whether a broken request may be dispatched once more.
+def may_retry(current):
+    """Return whether a broken request may be dispatched again.
 
-    Work that must not be repeated never may, once it may have run.  Work
-    whose first tokens the caller has may not either: another run would
-    give another answer, and the caller would get a mixture of the two.
+    Non-repeatable work is not retried once it may have run.  A request whose
+    first tokens were delivered is not retried either: a second run would
+    give a different answer, and the caller would get a mixture of the two.
     """
-    if life.verdict is NOT_RUN:
+    if current.verdict is NOT_RUN:
         return True
-    return life.repeatable and life.tokens == 0
+    return current.repeatable and current.tokens == 0
--- a/landingspool/decisions/retries.py
+++ b/landingspool/decisions/retries.py
@@ -1,8 +1,8 @@
-"""Retry budget, circuit breaker and the spread of Retry-After.
+"""Retry budget, circuit breaker and jitter of Retry-After.
 
-Retries are what turns the trouble of one target into that of all, so they
-are a bounded share of successful work, and a target that fails is probed
-with one request at a time before it gets its load back.
+Retries can spread the overload of one target to all others.  They are
+therefore limited to a share of the successful requests, and a failing target
+is probed with one request at a time before it receives its full load again.
 """
 
 import typing
@@ -11,9 +11,9 @@
 BUDGET_BURST = 10.0
 FAILURES_TO_OPEN = 3
 OPEN_S = 2.0
-OPEN_MOST_S = 30.0
-LEAST_RETRY_AFTER_S = 1.0
-MOST_RETRY_AFTER_S = 30.0
+MAX_OPEN_S = 30.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 30.0
 SPREAD = 0.5
 
 CLOSED = 'closed'
@@ -22,7 +22,14 @@
 
 
 class Budget:
-    """Retries as a share of successful work.
+    """Retry budget that grows with the number of successful requests.
+
+    Parameters
+    ----------
+    share : float
+        Retries earned by each success.
+    burst : float
+        Most retries that can be saved up.
 
     >>> budget = Budget(burst=1.0)
     >>> budget.take(), budget.take()
@@ -44,7 +51,7 @@
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def take(self):
-        """Take one retry; returns False when the budget is used up."""
+        """Take one retry; return False if the budget is exhausted."""
         if self._tokens < 1.0 - 1e-9:
             self.refused += 1
             return False
@@ -54,7 +61,19 @@
 
 
 class Breaker(typing.NamedTuple):
-    """State of the breaker of one target; `until` is monotonic seconds."""
+    """State of the circuit breaker of one target.
+
+    Attributes
+    ----------
+    state : str
+        ``closed``, ``open`` or ``probing``.
+    failures : int
+        Consecutive failures.
+    until : float
+        Monotonic time in seconds until which an open breaker refuses.
+    wait : float
+        Seconds for which the breaker opens; doubled when a probe fails.
+    """
 
     state: str = CLOSED
     failures: int = 0
@@ -63,12 +82,12 @@
 
 
 def record_success(breaker, now):
-    """Give the breaker after a success: closed."""
+    """Return the breaker after a success, which closes it."""
     return Breaker()
 
 
 def record_failure(breaker, now):
-    """Give the breaker after a failure.
+    """Return the breaker after a failure.
 
     >>> breaker = Breaker()
     >>> for _ in range(3): breaker = record_failure(breaker, 10.0)
@@ -77,7 +96,7 @@
     """
     failures = breaker.failures + 1
     if breaker.state == PROBING:
-        wait = min(breaker.wait * 2, OPEN_MOST_S)
+        wait = min(breaker.wait * 2, MAX_OPEN_S)
         return Breaker(OPEN, failures, now + wait, wait)
     if breaker.state == CLOSED and failures < FAILURES_TO_OPEN:
         return breaker._replace(failures=failures)
@@ -87,12 +106,12 @@
 
 
 def allow(breaker, now, in_flight):
-    """Give how many requests a target may have, and the breaker after.
+    """Return the number of requests a target may have, and its breaker.
 
     Returns
     -------
     tuple of (int or None, Breaker)
-        None where there is no bound; 1 while it is probed.
+        None if there is no limit, 1 while the target is probed.
 
     >>> allow(Breaker(OPEN, 3, 12.0), 11.0, 0)[0]
     0
@@ -103,24 +122,24 @@
         return None, breaker
     if breaker.state == OPEN and now < breaker.until:
         return 0, breaker
-    # One probe at a time: a second would only add load to a sick target.
+    # One probe at a time: a second would only add load to a failing target.
     return 1, breaker._replace(state=PROBING)
 
 
 def spread_retry_after(seconds, rng):
-    """Spread the time to come back, so that callers don't return together.
+    """Add jitter to a retry delay, so that callers don't retry together.
 
     Parameters
     ----------
     seconds : float
-        When there should be room, from now.
+        Expected time until there is free capacity.
     rng : random.Random
 
     Returns
     -------
     float
-        Whole seconds, as the header wants.
+        Whole seconds, as the Retry-After header requires.
     """
-    bounded = min(max(seconds, LEAST_RETRY_AFTER_S), MOST_RETRY_AFTER_S)
+    bounded = min(max(seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
     spread = bounded * rng.uniform(1 - SPREAD, 1 + SPREAD)
-    return float(max(1, round(spread + LEAST_RETRY_AFTER_S)))
+    return float(max(1, round(spread + MIN_RETRY_AFTER_S)))
--- a/landingspool/decisions/routing.py
+++ b/landingspool/decisions/routing.py
@@ -1,8 +1,8 @@
-"""Which target runs a request: registered policies, one function each.
+"""Routing policies that choose the target of a request.
 
-A policy gets the request, a view of each target that could take it and a
-`Turn` with what it may remember, and returns the chosen view.  All of them
-were measured on the same load; docs/design.md has the figures.
+A policy is a registered function.  It gets the request, a view of each target
+with a free slot and the `PolicyState` kept between decisions, and returns the
+chosen view.
 """
 
 import itertools
@@ -14,30 +14,30 @@
 
 
 class View(typing.NamedTuple):
-    """One target as the scheduler knows it now.
+    """Current state of a target as known to the scheduler.
 
     Attributes
     ----------
     target : str
     free : int
-        Places that are left after all that was granted.
+        Free slots after all grants.
     reported : int
-        Requests running in its last load report, which lags.
+        Running requests in its last load report, which lags.
     in_flight : int
-        Requests that this scheduler gave it and has not got back.
+        Requests granted by this scheduler that have not finished.
     backlog : float
-        Prompt tokens before it, corrected by what was granted since the
-        report.
+        Prompt tokens queued at the target, including those granted since
+        the report.
     prefill : float
-        Prompt tokens a second.
+        Nominal prefill speed in prompt tokens a second.
     cached : int
-        Prompt tokens of this request that it probably has in its cache.
+        Prompt tokens of this request that are probably in its cache.
     fetchable : int
-        Prompt tokens beyond those that a store has.
+        Further prompt tokens that are available in a store.
     fetch_s : float
-        Seconds to fetch them, with the price of the link.
+        Seconds to fetch them, including the price of the link.
     slowness : float
-        Measured time to first token over the expected one.
+        Nominal prefill speed over the measured one.
     """
 
     target: str
@@ -52,8 +52,8 @@
     slowness: float = UNKNOWN_SLOWNESS
 
 
-class Turn:
-    """What the policies may remember between two choices."""
+class PolicyState:
+    """State that the policies keep between decisions."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -71,7 +71,7 @@
 
 
 def wants_fetch(work, view):
-    """Tell whether fetching beats computing the context again.
+    """Return whether fetching context is faster than computing it again.
 
     >>> view = View('t', 1, 0, 0, 0.0, 1000.0, 0, 2000, 0.5)
     >>> wants_fetch(None, view), wants_fetch(None, view._replace(fetch_s=3.0))
@@ -94,37 +94,37 @@
 
 
 @policy('round_robin')
-def choose_round_robin(work, views, turn):
-    """Take the targets in turn, whatever their load."""
-    return views[next(turn.count) % len(views)]
+def choose_round_robin(work, views, state):
+    """Choose the targets in rotation, regardless of their load."""
+    return views[next(state.count) % len(views)]
 
 
 @policy('least_loaded')
-def choose_least_loaded(work, views, turn):
-    """Take the target with the lowest reported load; reports lag."""
+def choose_least_loaded(work, views, state):
+    """Choose the target with the lowest reported load, which lags."""
     return min(views, key=lambda view: (view.reported, view.target))
 
 
 @policy('two_choices')
-def choose_two(work, views, turn):
-    """Take the less loaded of two random targets.
+def choose_two(work, views, state):
+    """Choose the less loaded of two random targets.
 
     Source: Mitzenmacher, "The power of two choices in randomized load
     balancing", 2001.
     """
-    pair = turn.rng.sample(views, min(2, len(views)))
+    pair = state.rng.sample(views, min(2, len(views)))
     return min(pair, key=lambda view: view.reported)
 
 
 @policy('affinity')
-def choose_affinity(work, views, turn):
-    """Take the target that has most of the prompt in its cache."""
+def choose_affinity(work, views, state):
+    """Choose the target with most of the prompt in its cache."""
     return min(views, key=lambda view: (-view.cached, view.in_flight))
 
 
 @policy('earliest')
-def choose_earliest(work, views, turn):
-    """Take the target with the earliest expected first token."""
+def choose_earliest(work, views, state):
+    """Choose the target with the earliest expected first token."""
 
     def rank(view):
         first = estimate_first_token(work, view)
@@ -133,7 +133,7 @@
     return min(views, key=rank)
 
 
-def choose(name, work, views, turn):
+def choose(name, work, views, state):
     """Choose a target by the policy `name`.
 
     Parameters
@@ -141,18 +141,18 @@
     name : str
     work : records.Work
     views : sequence of View
-        The targets that may take the request.
-    turn : Turn
+        Targets that may run the request.
+    state : PolicyState
 
     Returns
     -------
     View or None
-        None where no target has a free place that the request may use.
+        None if no target has a free slot.
     """
     usable = [view for view in views if view.free > 0]
     preferred = [view for view in usable if view.target not in work.avoid]
     if not usable:
         return None
-    # A target that failed the request before is taken again rather than
-    # none at all: it may be the only one of its model.
-    return POLICIES[name](work, preferred or usable, turn)
+    # If only targets that failed the request before are left, one of them
+    # is used again: it may be the only target of its model.
+    return POLICIES[name](work, preferred or usable, state)
--- a/landingspool/decisions/scheduler.py
+++ b/landingspool/decisions/scheduler.py
@@ -1,9 +1,9 @@
-"""The scheduler of one shard of a pool: who runs next, and where.
+"""Scheduler of one shard of a pool: which request runs next, and where.
 
-It takes the messages of entry boxes and the reports of targets, and gives
-grants and refusals.  It holds nothing that must last: a scheduler that
-starts is told by the entry boxes what they hold and wait for, and learns
-the rest from the targets.
+It receives the messages of entry boxes and the load reports of targets, and
+sends grants and refusals.  It has no durable state: after a start, the entry
+boxes announce their grants and waiting requests, and the targets report the
+rest.
 """
 
 import random
@@ -23,28 +23,28 @@
 from landingspool.decisions import routing
 from landingspool.decisions import spill
 
-MOST_HOPS = 1
-FIRST_TOKEN_GRACE = 0.05
+MAX_HOPS = 1
+FIRST_TOKEN_GRACE_S = 0.05
 COMPUTE_SMOOTHING = 0.05
 FETCH_SMOOTHING = 0.3
-FETCH_FORGETTING = 0.003
+FETCH_RECOVERY = 0.003
 
 
 class Choice(typing.NamedTuple):
-    """A request, the target chosen for it, and where its context is."""
+    """A request, its chosen target and the location of its context."""
 
     work: records.Work
     view: routing.View
-    found: placement.Survey
+    located: placement.ContextLocation
 
 
 class Scheduler:
-    """Decides for one shard.
+    """Scheduler of one shard.
 
     Parameters
     ----------
     model, domain, box : str
-        The pool, and the box that this runs on.
+        Pool, and the box that the scheduler runs on.
     policy : policies.Policy
     started : float
         Monotonic seconds.
@@ -63,16 +63,16 @@
         self.flights = {}
         self.rooms = {}
         self.rng = random.Random(f'{policy.seed}/{box}/{model}')
-        self.turn = routing.Turn(self.rng.random())
+        self.policy_state = routing.PolicyState(self.rng.random())
         self._waiting = {}
-        self._given = 0
-        self._compute = float(identity.PIECE_TOKENS)
-        self._fetch_s = placement.FETCH_S_PER_BLOCK
+        self._grant_count = 0
+        self._mean_compute_tokens = float(identity.PIECE_TOKENS)
+        self._fetch_s_per_block = placement.FETCH_S_PER_BLOCK
         self._epoch = f'{box}.{self.rng.getrandbits(40):x}'
         self._by_request = {}
 
     def set_members(self, members):
-        """Take in the members of the live list that are in this pool.
+        """Apply the members of the live list that are in this pool.
 
         Returns
         -------
@@ -94,7 +94,7 @@
         return notes
 
     def ask(self, work, share, now):
-        """Decide on a request: queue it, send it on, or refuse it.
+        """Queue a request, spill it to another domain or refuse it.
 
         Parameters
         ----------
@@ -110,9 +110,9 @@
         if work.request in self._waiting:
             return [outputs.Send(work.entry, messages.Queued(work.request))]
         if work.request in self._by_request:
-            return self._repeat(work)
+            return self._resend_grant(work)
         usable = self._list_usable(now)
-        reason, wait = self._judge(work, share, usable, now)
+        reason, wait = self._check_admission(work, share, usable, now)
         spill = self._find_spill(work, wait, reason, usable, now)
         if spill:
             return [
@@ -132,7 +132,7 @@
         return sends
 
     def place(self, now, usable=None):
-        """Grant places while there are any and somebody waits."""
+        """Grant free slots to waiting requests; return a list of Send."""
         sends = []
         if self.queue.length and usable is None:
             usable = self._list_usable(now)
@@ -144,7 +144,7 @@
         return sends
 
     def finish(self, done, now):
-        """Take a place back and learn from what it cost."""
+        """Process a returned grant and update the estimates from it."""
         flight = self.flights.pop(done.grant, None)
         if flight is None:
             return []
@@ -156,26 +156,30 @@
         )
         if done.fetched:
             seconds = done.fetch_s / done.fetched
-            self._fetch_s += FETCH_SMOOTHING * (seconds - self._fetch_s)
+            self._fetch_s_per_block += FETCH_SMOOTHING * (
+                seconds - self._fetch_s_per_block
+            )
         if done.outcome == 'ok':
-            self._compute += COMPUTE_SMOOTHING * (computed - self._compute)
+            self._mean_compute_tokens += COMPUTE_SMOOTHING * (
+                computed - self._mean_compute_tokens
+            )
         if target is not None:
-            target.end_flight(done.grant, now)
+            target.end_grant(done.grant, now)
             OUTCOMES[done.outcome](self, target, flight, done, now)
         return self.place(now)
 
     def withdraw(self, request):
-        """Forget a request that its entry box has given up."""
+        """Remove a request that its entry box has withdrawn."""
         row = self._waiting.pop(request, None)
         if row is not None:
             self.queue.remove(row.work.workspace, request)
 
-    def adopt(self, announce, share_of, now):
-        """Take in what an entry box holds and waits for.
+    def adopt(self, announce, get_share, now):
+        """Adopt the grants and waiting requests of an entry box.
 
-        This is how a scheduler that has just begun gets its state, and how
-        the leases of the grants of a living box are renewed.  Returns the
-        number of renewed grants that are not known here.
+        A scheduler that has just started gets its state this way.  It also
+        renews the leases of grants.  Return the number of renewed grants
+        that are unknown here.
         """
         lease = self.policy.grant_lease_s
         unknown = 0
@@ -184,26 +188,26 @@
             if flight is None:
                 unknown += 1
             else:
-                self._set_flight(flight._replace(until=now + lease))
+                self._set_grant(flight._replace(until=now + lease))
         for held in announce.held:
             if held.grant not in self.flights:
                 self._adopt_grant(held, now)
         for work in announce.waiting:
-            if not self._knows(work.request):
-                self.queue.push(work, share_of(work.workspace))
+            if not self._is_known(work.request):
+                self.queue.push(work, get_share(work.workspace))
                 row = records.Waiting(work, now - work.waited, now + work.left)
                 self._waiting[work.request] = row
         return unknown
 
     def report(self, report, now):
-        """Take in a load report; returns a list of Note."""
+        """Record a load report; return a list of Note."""
         target = self.targets.get(report.target)
         if target is None:
             return []
         leaving = target.is_leaving()
-        before = target.describe_cache()
-        target.take_report(report, now)
-        if target.describe_cache() != before:
+        before = target.get_cache_identity()
+        target.record_report(report, now)
+        if target.get_cache_identity() != before:
             self.directory.forget_target(report.target)
         if target.is_leaving() and not leaving:
             fields = {'target': report.target, 'source': 'report'}
@@ -211,18 +215,18 @@
         return []
 
     def resume(self, seconds, now):
-        """Leave out so many seconds in which this process did not run.
+        """Extend the leases of grants by a stall of `seconds`.
 
-        Reports are too old then though the targets may be sound, and entry
-        boxes may have renewed their grants meanwhile.
+        After a stall, reports are too old even if the targets are healthy,
+        and entry boxes may have sent renewals during it.
         """
         self._lack.resume(now)
         for flight in list(self.flights.values()):
             until = flight.until + seconds
-            self._set_flight(flight._replace(until=until))
+            self._set_grant(flight._replace(until=until))
 
     def take_events(self, name, events, gap):
-        """Take in cache events of a target; a gap makes all doubtful."""
+        """Apply cache events of a target; a gap invalidates earlier ones."""
         if gap:
             self.directory.record_gap(name)
         for event in events:
@@ -232,24 +236,25 @@
                 self.directory.record_cached(name, [event.piece])
 
     def tick(self, now):
-        """Take back lapsed grants, refuse what can't be served any more.
+        """Expire grants and refuse requests that cannot be served any more.
 
         Returns
         -------
         tuple of (list of Send, list of Note)
         """
-        # A slow link is tried again bit by bit: nobody would fetch over it,
-        # and so nobody would learn that it has become fast.
-        healed = placement.FETCH_S_PER_BLOCK - self._fetch_s
-        self._fetch_s += FETCH_FORGETTING * healed
-        notes = self._lapse(now)
-        sends = self._refuse_late(now)
+        # The estimate returns slowly to its initial value.  Otherwise no
+        # request would fetch over a link once it was slow, and no new
+        # measurement would show that it has become fast.
+        recovery = placement.FETCH_S_PER_BLOCK - self._fetch_s_per_block
+        self._fetch_s_per_block += FETCH_RECOVERY * recovery
+        notes = self._expire_grants(now)
+        sends = self._refuse_overdue(now)
         sends += self.place(now)
-        sends += self._turn_away(now)
+        sends += self._refuse_without_targets(now)
         return sends, notes
 
     def summarize(self, now):
-        """Give the summary of this pool for the other domains."""
+        """Return the summary of this pool for the other domains."""
         usable = self._list_usable(now)
         free = sum(self._list_free(usable, now).values())
         prefill = sum(t.report.prefill / t.slowness for t in usable)
@@ -260,27 +265,27 @@
         )
 
     def record_room(self, domain, room, now):
-        """Take in another domain's summary of its pool."""
-        self.rooms[domain] = spill.Heard(room, now)
+        """Record another domain's summary of its pool."""
+        self.rooms[domain] = spill.ReceivedRoom(room, now)
 
     def count_waiting(self):
-        """Give the number of requests in the queue."""
+        """Return the number of requests in the queue."""
         return self.queue.length
 
-    def _repeat(self, work):
-        # The answer to an Ask was lost with its link: the same grant is
+    def _resend_grant(self, work):
+        # The answer to an Ask was lost with its link.  The same grant is
         # sent again, never a second one.
         flight = self.flights[self._by_request[work.request]]
         if flight.message is None:
             return []
         return [outputs.Send(work.entry, flight.message)]
 
-    def _knows(self, request):
+    def _is_known(self, request):
         return request in self._waiting or request in self._by_request
 
-    def _judge(self, work, share, usable, now):
-        # Returns why a request can't be queued, or an empty reason, and
-        # the seconds that it would wait.
+    def _check_admission(self, work, share, usable, now):
+        # Returns the reason to refuse a request, or an empty one, and the
+        # seconds that it would wait.
         if not usable:
             settling = self._lack.is_settling(self.targets.values(), now)
             return ('' if settling else 'no_target'), lack.SETTLE_S
@@ -296,29 +301,29 @@
         if not ahead:
             return 0.0
         usable = self._list_usable(now)
-        rate = pool.measure_rate(usable, self._compute)
+        rate = pool.measure_rate(usable, self._mean_compute_tokens)
         return ahead / rate if rate else lack.SETTLE_S
 
     def _find_spill(self, work, wait, reason, usable, now):
-        if work.hops >= MOST_HOPS or not self.rooms:
+        if work.hops >= MAX_HOPS or not self.rooms:
             return ''
-        here = float('inf')
+        local_s = float('inf')
         if not reason:
             backlog = self._measure_backlog(usable, now)
             if wait + backlog < spill.MARGIN_S:
                 return ''
-            here = wait + self._estimate_first(work, usable, now)
-        return spill.find_better(self.rooms, work, here, now)
+            local_s = wait + self._estimate_first(work, usable, now)
+        return spill.find_earlier_domain(self.rooms, work, local_s, now)
 
     def _measure_backlog(self, usable, now):
-        """Give the least seconds of work before a new request."""
+        """Return the least backlog in seconds of a target with a slot."""
         free = self._list_free(usable, now)
-        return min((t.measure_seconds() for t in free), default=0.0)
+        return min((t.measure_backlog_s() for t in free), default=0.0)
 
     def _estimate_first(self, work, usable, now):
         """Estimate the seconds to the first token at the best target."""
         free = self._list_free(usable, now) or {t: 1 for t in usable}
-        views = self._view_all(work, free)[0]
+        views = self._make_views(work, free)[0]
         return min(
             (routing.estimate_first_token(work, view) for view in views),
             default=lack.SETTLE_S,
@@ -328,13 +333,13 @@
         return [t for t in self.targets.values() if t.is_usable(now)]
 
     def _list_free(self, usable, now):
-        """Give the free places of each target that has any."""
+        """Return the number of free slots of each target that has any."""
         free = {}
-        most = self.policy.backlog_s
+        max_backlog_s = self.policy.backlog_s
         for target in usable:
-            # What waits here can still go to whoever is free first, in
-            # the order of the weights; what waits in a target can't.
-            if most and target.measure_seconds() > most:
+            # Requests queued here can still go to the first free target, in
+            # the order of the weights; requests queued at a target cannot.
+            if max_backlog_s and target.measure_backlog_s() > max_backlog_s:
                 continue
             count = target.count_free(now)
             if count > 0:
@@ -342,39 +347,47 @@
         return free
 
     def _take_next(self, usable, now):
-        """Take the request that goes next; returns a Choice or None."""
+        """Choose the next request and its target; return a Choice or None."""
         free = self._list_free(usable, now)
         if not free:
             return None
         work = self.queue.pop()
         del self._waiting[work.request]
-        views, surveys = self._view_all(work, free)
-        view = routing.choose(self.policy.routing, work, views, self.turn)
+        views, locations = self._make_views(work, free)
+        view = routing.choose(
+            self.policy.routing, work, views, self.policy_state
+        )
         version = self.targets[view.target].report.version
-        return Choice(work, view, surveys[version])
+        return Choice(work, view, locations[version])
 
-    def _view_all(self, work, free):
-        """Give the views of some targets, and the surveys by version."""
-        price_s = self._fetch_s + self.policy.link_price_s
-        surveys = {}
+    def _make_views(self, work, free):
+        """Return views of targets, and context locations by version."""
+        fetch_s_per_block = self._fetch_s_per_block + self.policy.link_price_s
+        locations = {}
         views = []
         for target, count in free.items():
             version = target.report.version
-            if version not in surveys:
-                found = placement.survey(self.directory, work, version)
-                surveys[version] = found
+            if version not in locations:
+                located = placement.locate_context(
+                    self.directory, work, version
+                )
+                locations[version] = located
             view = placement.make_view(
-                target, self.directory, surveys[version], count, price_s
+                target,
+                self.directory,
+                locations[version],
+                count,
+                fetch_s_per_block,
             )
             views.append(view)
-        return views, surveys
+        return views, locations
 
     def _grant(self, choice, now):
-        work, view, found = choice
+        work, view, located = choice
         target = self.targets[view.target]
-        self._given += 1
-        grant = f'{self._epoch}.{self._given}'
-        fetch = placement.list_fetch(work, view, found)
+        self._grant_count += 1
+        grant = f'{self._epoch}.{self._grant_count}'
+        fetch = placement.list_blocks_to_fetch(work, view, located)
         ready = view.cached + len(fetch) * identity.PIECE_TOKENS
         compute = max(work.prompt_tokens - ready, 0)
         message = messages.Grant(
@@ -397,18 +410,18 @@
             now + self.policy.grant_lease_s,
             self.queue.reserve(work.workspace, compute),
             compute,
-            found.keys,
+            located.keys,
             message,
         )
-        self._set_flight(flight)
-        self.directory.record_cached(view.target, found.keys)
+        self._set_grant(flight)
+        self.directory.record_cached(view.target, located.keys)
         return outputs.Send(work.entry, message)
 
-    def _set_flight(self, flight):
+    def _set_grant(self, flight):
         self.flights[flight.grant] = flight
         self._by_request[flight.work.request] = flight.grant
         if flight.target in self.targets:
-            self.targets[flight.target].add_flight(flight)
+            self.targets[flight.target].add_grant(flight)
 
     def _adopt_grant(self, held, now):
         charged = self.queue.reserve(held.work.workspace, 0)
@@ -422,34 +435,36 @@
             0,
             (),
         )
-        self._set_flight(flight)
+        self._set_grant(flight)
 
     def _refuse(self, work, reason, wait):
         after = retries.spread_retry_after(wait, self.rng)
         refuse = messages.Refuse(work.request, reason, after)
         return outputs.Send(work.entry, refuse)
 
-    def _refuse_late(self, now):
-        # A request that can't make its deadline any more is answered now
-        # and not when the deadline comes.
+    def _refuse_overdue(self, now):
+        # A request that can no longer meet its deadline is refused now, not
+        # when the deadline expires.
         sends = []
         for row in list(self._waiting.values()):
-            if now <= row.deadline - FIRST_TOKEN_GRACE:
+            if now <= row.deadline - FIRST_TOKEN_GRACE_S:
                 continue
             self.withdraw(row.work.request)
             wait = self._estimate_wait(self.queue.length, now)
             sends.append(self._refuse(row.work, 'deadline', wait))
         return sends
 
-    def _turn_away(self, now):
-        """Answer who waits although no target has been usable for long."""
+    def _refuse_without_targets(self, now):
+        """Answer waiting requests if no target has been usable for long."""
         usable = self._list_usable(now)
         if not self._lack.has_lasted(usable, self.targets.values(), now):
             return []
-        return [self._answer_lack(r, now) for r in [*self._waiting.values()]]
+        return [
+            self._spill_or_refuse(r, now) for r in [*self._waiting.values()]
+        ]
 
-    def _answer_lack(self, row, now):
-        """Send who waits to another domain, or refuse it."""
+    def _spill_or_refuse(self, row, now):
+        """Spill a waiting request to another domain, or refuse it."""
         waited, left = now - row.arrived, row.deadline - now
         work = row.work._replace(waited=waited, left=left)
         self.withdraw(work.request)
@@ -458,7 +473,7 @@
             return self._refuse(work, 'no_target', lack.SETTLE_S)
         return outputs.Send(work.entry, messages.Spill(work.request, spill))
 
-    def _lapse(self, now):
+    def _expire_grants(self, now):
         notes = []
         for flight in list(self.flights.values()):
             if now < flight.until:
@@ -468,14 +483,14 @@
             self.queue.settle(flight.work.workspace, flight.charged, 0, 0)
             target = self.targets.get(flight.target)
             if target is not None:
-                target.end_flight(flight.grant, now)
+                target.end_grant(flight.grant, now)
             fields = {'request': flight.work.request, 'target': flight.target}
             notes.append(outputs.Note('lapsed', fields))
         return notes
 
-    def _end_well(self, target, flight, done, now):
+    def _end_ok(self, target, flight, done, now):
         target.breaker = retries.record_success(target.breaker, now)
-        target.learn(done.held)
+        target.record_hold(done.held)
         self.directory.record_cached(flight.target, flight.keys)
 
     def _end_failed(self, target, flight, done, now):
@@ -491,7 +506,7 @@
 
 
 OUTCOMES = {
-    'ok': Scheduler._end_well,
+    'ok': Scheduler._end_ok,
     'failed': Scheduler._end_failed,
     'unused': Scheduler._end_unused,
     'leaving': Scheduler._end_leaving,
--- a/landingspool/decisions/spill.py
+++ b/landingspool/decisions/spill.py
@@ -1,9 +1,9 @@
-"""When a request goes to another failure domain.
+"""Choice of another failure domain for requests that would wait too long.
 
-Domains tell each other of their pools in summaries.  Work goes where its
-first token is expected earlier, with the context that has to be computed
-again there counted in.  A summary is half a second old or more, so what
-was sent since is added to it: else all would go to the same place at once.
+Domains exchange summaries of their pools.  A request spills to the domain
+where its first token is expected earlier, including the time to compute its
+context again there.  A summary is at least half a second old, so requests
+sent since then are added to it; otherwise all would go to the same domain.
 """
 
 import typing
@@ -12,61 +12,72 @@
 
 SUMMARY_OLD_S = 5.0
 MARGIN_S = 0.1
-# A pool whose places are all taken and whose queue is empty will free one
-# soon; that much is expected until then.
-FULL_S = 0.5
+# Expected wait for a slot of a pool that is full but whose queue is empty.
+FULL_POOL_WAIT_S = 0.5
 
 
-class Heard(typing.NamedTuple):
-    """The summary of a pool, when it came, and the seconds added since."""
+class ReceivedRoom(typing.NamedTuple):
+    """Summary of a remote pool.
+
+    Attributes
+    ----------
+    room : messages.Room
+    received_at : float
+        Monotonic seconds.
+    added_s : float
+        Seconds of work sent to the pool since the summary was received.
+    """
 
     room: messages.Room
-    at: float
-    added: float = 0.0
+    received_at: float
+    added_s: float = 0.0
 
 
-def estimate_there(heard, work):
+def estimate_remote(received, work):
     """Estimate the seconds to the first token in another domain.
 
-    The caches there are not known here, so the whole prompt counts.
+    The caches of other domains are unknown, so the whole prompt counts.
 
     >>> room = messages.Room('m', 2, 0.5, 20_000.0, 2)
     >>> Work = typing.NamedTuple('Work', prompt_tokens=int)
-    >>> estimate_there(Heard(room, 0.0), Work(10_000))
+    >>> estimate_remote(ReceivedRoom(room, 0.0), Work(10_000))
     1.6
     """
-    room = heard.room
-    each = room.prefill / room.targets
-    full = 0.0 if room.free else FULL_S
-    compute = work.prompt_tokens / each
-    return room.delay + heard.added + full + compute + MARGIN_S
+    room = received.room
+    prefill_per_target = room.prefill / room.targets
+    full = 0.0 if room.free else FULL_POOL_WAIT_S
+    compute = work.prompt_tokens / prefill_per_target
+    return room.delay + received.added_s + full + compute + MARGIN_S
 
 
-def find_better(rooms, work, here, now):
-    """Give the domain with an earlier first token than `here`, or ``''``.
+def find_earlier_domain(rooms, work, local_s, now):
+    """Return a domain with an earlier first token, or ``''``.
 
     Parameters
     ----------
-    rooms : dict of str to Heard
-        By domain; the chosen one's entry is charged with the request.
+    rooms : dict of str to ReceivedRoom
+        By domain.  The request is added to the entry of the chosen domain.
     work : records.Work
-    here : float
-        Expected seconds to the first token in the own domain.
+    local_s : float
+        Expected seconds to the first token in the local domain.
     now : float
 
     Returns
     -------
     str
     """
-    best, first = '', here
-    for domain, heard in sorted(rooms.items()):
-        if now - heard.at > SUMMARY_OLD_S or not heard.room.targets:
+    best, first = '', local_s
+    for domain, received in sorted(rooms.items()):
+        if (
+            now - received.received_at > SUMMARY_OLD_S
+            or not received.room.targets
+        ):
             continue
-        there = estimate_there(heard, work)
-        if there < first:
-            best, first = domain, there
+        remote_s = estimate_remote(received, work)
+        if remote_s < first:
+            best, first = domain, remote_s
     if best:
-        heard = rooms[best]
-        added = work.prompt_tokens / heard.room.prefill
-        rooms[best] = heard._replace(added=heard.added + added)
+        received = rooms[best]
+        added_s = work.prompt_tokens / received.room.prefill
+        rooms[best] = received._replace(added_s=received.added_s + added_s)
     return best
--- a/landingspool/decisions/timing.py
+++ b/landingspool/decisions/timing.py
@@ -1,37 +1,41 @@
-"""Noticing that this process did not run for a time.
+"""Detection of stalls: periods in which this process did not run.
 
-A process may be frozen between deciding and acting.  It beats with its
-timer; when the last beat is too long ago at the moment of acting, what was
-decided before is thrown away and asked for again.
+A process can be suspended between a decision and the action that follows.
+Its timer records heartbeats.  If the last heartbeat is too old when the
+process acts, earlier decisions are discarded and requested again.
 """
 
-MOST_SILENCE_S = 0.75
+# A longer gap between two heartbeats counts as a stall.
+MAX_SILENCE_S = 0.75
 
 
 def measure_stall(last, now):
-    """Give the seconds for which the process seems not to have run.
+    """Return the length in seconds of a stall that ends now, or 0.
 
     Parameters
     ----------
     last : float or None
-        When it is last known to have run; None: it has only begun.
+        Monotonic time at which the process last ran, in seconds; None if it
+        has just started.
+    now : float
+        Monotonic time in seconds.
 
     >>> measure_stall(10.0, 10.2), measure_stall(10.0, 15.25)
     (0.0, 5.25)
     >>> measure_stall(None, 15.0)
     0.0
     """
-    if last is None or now - last <= MOST_SILENCE_S:
+    if last is None or now - last <= MAX_SILENCE_S:
         return 0.0
     return now - last
 
 
 class Beat:
-    """The last time at which the timer is known to have run.
+    """Time of the last heartbeat of the timer.
 
-    >>> beat = Beat()
-    >>> beat.record(10.0)
-    >>> beat.is_fresh(10.2), beat.is_fresh(14.0)
+    >>> heartbeat = Beat()
+    >>> heartbeat.record(10.0)
+    >>> heartbeat.is_fresh(10.2), heartbeat.is_fresh(14.0)
     (True, False)
     """
 
@@ -39,9 +43,9 @@
         self._last = None
 
     def record(self, now):
-        """Note that the timer runs at `now`."""
+        """Record that the timer runs at `now`."""
         self._last = now
 
     def is_fresh(self, now):
-        """Tell whether the timer ran shortly before `now`."""
+        """Return whether the timer ran shortly before `now`."""
         return not measure_stall(self._last, now)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""The weighted fair queue."""
+"""Tests of the weighted fair queue."""
 
 import collections
 
@@ -9,14 +9,14 @@
 
 
 def fill(queue, workspace, count, share=EVEN):
-    """Let a workspace wait with so many requests."""
+    """Queue `count` requests of a workspace."""
     for index in range(count):
         work = examples.make_work(f'{workspace}{index}', workspace, 1)
         queue.push(work, share)
 
 
 def serve(queue, count, output=10):
-    """Serve so many requests; gives how many each workspace got."""
+    """Serve `count` requests; return the number for each workspace."""
     got = collections.Counter()
     for _ in range(count):
         work = queue.pop()
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -1,4 +1,4 @@
-"""A workspace's limit over several failure domains."""
+"""Tests of a workspace's limit across several failure domains."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 def make_limiters():
-    """Give a limiter in each domain."""
+    """Return a limiter for each domain."""
     return {
         name: limiter.Limiter(name, f'{name}-1', random.Random(name))
         for name in DOMAINS
@@ -20,18 +20,18 @@
 
 
 def tick(limiters, name, now):
-    """Give what one limiter asks of the others."""
+    """Return the Borrow messages of one limiter to its peers."""
     return limiters[name].tick(lambda workspace: LIMIT, DOMAINS, now)
 
 
 def reserve(owned, request, now):
-    """Try to take a place; tells if it was given."""
+    """Request a permit; return whether it was granted."""
     reply = owned.reserve(request, 'box', 'w', LIMIT, DOMAINS, now)
     return reply.admitted
 
 
 def sum_allotments(limiters, now):
-    """Give the places that all domains may use together."""
+    """Return the total number of permits that all domains may use."""
     return sum(
         owned.get_allotment('w', LIMIT, DOMAINS, now)
         for owned in limiters.values()
@@ -39,7 +39,7 @@
 
 
 def exchange(limiters, now):
-    """Deliver all asks and answers at once."""
+    """Deliver all Borrow messages and their answers at once."""
     for name in DOMAINS:
         for domain, borrow in tick(limiters, name, now):
             lend = limiters[domain].lend(borrow, LIMIT, DOMAINS, now)
@@ -97,8 +97,8 @@
     assert fresh.get_allotment('w', LIMIT, DOMAINS, 1.0) == 3
 
 
-# What may happen next: time goes on, a domain wants places or gives one
-# back, and messages that are on their way arrive, get lost or come twice.
+# Possible steps: time passes, a domain requests permits or releases one, and
+# messages in transit arrive, get lost or are duplicated.
 STEP = strategies.one_of(
     strategies.tuples(strategies.just('wait'), strategies.floats(0.3, 4.0)),
     strategies.tuples(strategies.just('take'), strategies.sampled_from('aab')),
@@ -116,19 +116,19 @@
     def __init__(self):
         self.limiters = make_limiters()
         self.now = 0.0
-        self.flying = []
+        self.in_transit = []
         self.held = {name: [] for name in DOMAINS}
         self.count = 0
 
     def wait(self, seconds):
-        """Let time go on; the limiters tick."""
+        """Advance the time and run the limiters."""
         self.now += seconds
         for name in DOMAINS:
             for domain, borrow in tick(self.limiters, name, self.now):
-                self.flying.append((domain, borrow))
+                self.in_transit.append((domain, borrow))
 
     def take(self, name):
-        """Ask for places in a domain, as many as a busy one would."""
+        """Request several permits in a domain, as a busy one would."""
         for _ in range(4):
             self.count += 1
             request = f'r{self.count}'
@@ -136,33 +136,35 @@
                 self.held[name].append(request)
 
     def free(self, index):
-        """Give a place back."""
+        """Release a permit."""
         name = DOMAINS[index % len(DOMAINS)]
         if self.held[name]:
             self.limiters[name].release(self.held[name].pop(0), 'w')
 
     def send(self, index):
-        """Deliver one of the messages under way."""
-        if not self.flying:
+        """Deliver one of the messages in transit."""
+        if not self.in_transit:
             return
-        to, message = self.flying.pop(index % len(self.flying))
+        to, message = self.in_transit.pop(index % len(self.in_transit))
         owned = self.limiters[to]
         if hasattr(message, 'term'):
             owned.borrowed(message, self.now)
             return
         lend = owned.lend(message, LIMIT, DOMAINS, self.now)
         if lend is not None:
-            self.flying.append((message.domain, lend))
+            self.in_transit.append((message.domain, lend))
 
     def lose(self, index):
-        """Lose one of the messages under way."""
-        if self.flying:
-            self.flying.pop(index % len(self.flying))
+        """Lose one of the messages in transit."""
+        if self.in_transit:
+            self.in_transit.pop(index % len(self.in_transit))
 
     def copy(self, index):
-        """Let one of the messages under way come twice."""
-        if self.flying:
-            self.flying.append(self.flying[index % len(self.flying)])
+        """Duplicate one of the messages in transit."""
+        if self.in_transit:
+            self.in_transit.append(
+                self.in_transit[index % len(self.in_transit)]
+            )
 
 
 @hypothesis.settings(
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of a pool, in small examples."""
+"""Tests of the scheduler of a pool."""
 
 import collections
 
@@ -11,7 +11,7 @@
 
 
 def get_grant(sends):
-    """Give the only grant among some messages."""
+    """Return the only grant among some messages."""
     (grant,) = [
         send.message
         for send in sends
@@ -21,7 +21,7 @@
 
 
 def finish(owned, work, grant, now, **changes):
-    """Give a grant back as a whole answer."""
+    """Return a grant after a complete answer."""
     done = messages.Done(
         request=work.request,
         grant=grant.grant,
@@ -147,7 +147,7 @@
     owned = examples.make_scheduler(targets=('t1',))
     target = owned.targets['t1']
     for step in range(1, 12):
-        # It should work off 10,000 tokens a second and does a tenth.
+        # Its nominal speed is 10,000 tokens a second; it runs at a tenth.
         report = examples.make_report(
             't1', queued_tokens=20_000 - 250 * step, running=3
         )
@@ -186,7 +186,7 @@
 
 
 def test_scheduler_that_stood_still_waits_for_reports():
-    # Guards against refusals because reports aged while it did not run.
+    # Guards against refusals because reports expired during a stall.
     owned = examples.make_scheduler()
     owned.resume(6.0, 10.0)
     sends = owned.ask(examples.make_work('r1.1'), examples.SHARE, 10.0)
@@ -196,7 +196,7 @@
 
 
 def test_nobody_waits_for_targets_until_the_deadline():
-    # Guards against requests that are held although no target is left.
+    # Guards against requests that stay queued although no target is left.
     owned = examples.make_scheduler()
     owned.resume(6.0, 10.0)
     owned.ask(examples.make_work('r1.1'), examples.SHARE, 10.0)
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -1,4 +1,4 @@
-"""When work goes to another failure domain."""
+"""Tests of the spill of requests to another failure domain."""
 
 from landingspool.decisions import messages
 from landingspool.decisions import placement
@@ -9,14 +9,14 @@
 
 
 def ask(owned, work, now=0.0):
-    """Ask a scheduler; gives its only answer that is no Queued."""
+    """Ask a scheduler; return its messages other than Queued."""
     sends = owned.ask(work, examples.SHARE, now)
     rows = [s.message for s in sends]
     return [m for m in rows if not isinstance(m, messages.Queued)]
 
 
 def make_busy(now=0.0, backlog=30_000):
-    """Give a scheduler whose only target has work before it."""
+    """Return a scheduler whose only target has a backlog."""
     owned = examples.make_scheduler(targets=('t1',), now=now)
     report = examples.make_report('t1', queued_tokens=backlog, running=1)
     owned.report(report, now + 0.01)
