--- a/bench/micro.py
+++ b/bench/micro.py
@@ -200,7 +200,7 @@
 
     def call():
         grant = current[0]
-        flight = owned.flights[grant.grant]
+        flight = owned.active_grants[grant.grant]
         sends = owned.finish(make_done(flight.work, grant), 10.0)
         current[0] = sends[0].message
 
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -61,7 +61,7 @@
         self.row = row
         self.outlet = outlet
         self.request = f'{row.workspace}/{demand.request}'
-        self.life = life_module.Life(demand.repeatable)
+        self.life = life_module.RequestState(demand.repeatable)
         self.started = self.core.timer.now()
         self.deadline = self.started + demand.deadline_s
         self.first_token = -1.0
@@ -356,11 +356,11 @@
         return self.demand.model in self.box.plain_models()
 
     def _pool(self):
-        case = self.core.node.entry.get_case(self.request)
+        case = self.core.node.entry.get_tracked(self.request)
         return case.work.pool if case else ''
 
     def _send_scheduler(self, message):
-        case = self.core.node.entry.get_case(self.request)
+        case = self.core.node.entry.get_tracked(self.request)
         if case is None:
             return
         now = self.core.timer.now()
@@ -409,7 +409,7 @@
         # A request that was never sent gives its place back when it is
         # closed; one that may run is cancelled at its target.
         if self.life.verdict is MAY_HAVE_RUN and self._address:
-            case = self.core.node.entry.get_case(self.request)
+            case = self.core.node.entry.get_tracked(self.request)
             if case is not None and case.grant is not None:
                 run = f'{self.request}#{case.grant.grant}'
                 call = targets.cancel(self.core.client, self._address, run)
--- a/landingspool/core.py
+++ b/landingspool/core.py
@@ -258,7 +258,7 @@
         gap = events[0].number != after + 1
         for owned in self.node.pools.schedulers.values():
             if member.name in owned.targets:
-                owned.take_events(member.name, events, gap)
+                owned.apply_cache_events(member.name, events, gap)
 
     async def _poll_stores(self):
         while True:
--- a/landingspool/decisions/entry.py
+++ b/landingspool/decisions/entry.py
@@ -92,7 +92,7 @@
         self._tracked = {}
         self._announced_at = 0.0
         self._renewed_at = 0.0
-        self._heartbeat = timing.Beat()
+        self._heartbeat = timing.Heartbeat()
 
     def __len__(self):
         return len(self._tracked)
@@ -186,7 +186,7 @@
         """Return whether this process has not stalled up to `now`."""
         return self._heartbeat.is_fresh(now)
 
-    def get_case(self, request):
+    def get_tracked(self, request):
         """Return the TrackedRequest of a request, or None."""
         return self._tracked.get(request)
 
@@ -280,7 +280,7 @@
     def _reserve(self, tracked, now):
         work = tracked.work
         box = self._pick_box(
-            name_account(work.workspace), self.domain, tracked.limit_asks
+            make_limiter_key(work.workspace), self.domain, tracked.limit_asks
         )
         box = box or self.box
         self._tracked[work.request] = self._tracked[work.request]._replace(
@@ -392,7 +392,7 @@
     )
 
 
-def name_account(workspace):
+def make_limiter_key(workspace):
     """Return the name that is hashed to find a workspace's limiter."""
     return f'limit/{workspace}'
 
--- a/landingspool/decisions/fairness.py
+++ b/landingspool/decisions/fairness.py
@@ -50,10 +50,10 @@
     return prompt_tokens + OUTPUT_COST * expected_output
 
 
-def measure_cost(prompt_tokens, output_tokens):
+def compute_cost(prompt_tokens, output_tokens):
     """Return the service used by a finished request, in tokens.
 
-    >>> measure_cost(100, 10)
+    >>> compute_cost(100, 10)
     120.0
     """
     return prompt_tokens + OUTPUT_COST * output_tokens
@@ -133,7 +133,7 @@
 
     def reserve(self, workspace, prompt_tokens):
         """Charge for a request that starts; return the amount in tokens."""
-        expected = self.expect_output(workspace)
+        expected = self.estimate_output(workspace)
         amount = self._charge(prompt_tokens, expected)
         self._pending[workspace] += 1
         self._add(workspace, amount)
@@ -141,17 +141,17 @@
 
     def settle(self, workspace, charged, prompt_tokens, output_tokens):
         """Replace the charge for a request by its actual cost."""
-        used = measure_cost(prompt_tokens, output_tokens)
+        used = compute_cost(prompt_tokens, output_tokens)
         self._pending[workspace] -= 1
         if self._pending[workspace] <= 0:
             del self._pending[workspace]
         if output_tokens:
-            guess = self.expect_output(workspace)
+            guess = self.estimate_output(workspace)
             updated = guess + OUTPUT_SMOOTHING * (output_tokens - guess)
             self._output[workspace] = updated
         self._add(workspace, used - charged)
 
-    def expect_output(self, workspace):
+    def estimate_output(self, workspace):
         """Return the expected length of an answer, in tokens."""
         return self._output.get(workspace, INITIAL_OUTPUT_TOKENS)
 
--- a/landingspool/decisions/limiter.py
+++ b/landingspool/decisions/limiter.py
@@ -17,14 +17,14 @@
 from landingspool.decisions import messages
 from landingspool.decisions import retries
 
-TERM_S = 10.0
+LOAN_TERM_S = 10.0
 LENDER_MARGIN_S = 2.0
 RENEW_S = 5.0
 PERMIT_LEASE_S = 15.0
 ASK_PERIOD_S = 0.25
 ASK_AHEAD = 1
 SWEEP_BATCH = 8
-MAX_RECORDED_ASKS = int(TERM_S / ASK_PERIOD_S) + 1
+MAX_RECORDED_ASKS = int(LOAN_TERM_S / ASK_PERIOD_S) + 1
 
 
 class Permit(typing.NamedTuple):
@@ -207,18 +207,18 @@
         if amount <= 0:
             return None
         loan = f'{self.box}.{next(self._loans)}.{self._rng.getrandbits(32):x}'
-        until = now + TERM_S + LENDER_MARGIN_S
+        until = now + LOAN_TERM_S + LENDER_MARGIN_S
         account.loans_out.append(Loan(loan, borrow.domain, amount, until))
         return messages.Lend(
             borrow.workspace,
             loan,
             self.domain,
             amount,
-            TERM_S,
+            LOAN_TERM_S,
             borrow.asked,
         )
 
-    def borrowed(self, lend, now):
+    def accept_loan(self, lend, now):
         """Accept a loan, whose term counts from the time of the request."""
         account = self._open(lend.workspace, now)
         if any(loan.loan == lend.loan for loan in account.loans_in):
--- a/landingspool/decisions/node.py
+++ b/landingspool/decisions/node.py
@@ -248,7 +248,7 @@
         asks = self.limiter.tick(self.limit_of, domains, now)
         actions = []
         for domain, message in asks:
-            subject = entry.name_account(message.workspace)
+            subject = entry.make_limiter_key(message.workspace)
             box = ownership.find_owner(subject, self.roster.view(domain))
             if box:
                 actions.append(outputs.Send(box, message))
@@ -323,7 +323,7 @@
 
     @handles(messages.Lend)
     def _on_lend(self, sender, message, now):
-        self.limiter.borrowed(message, now)
+        self.limiter.accept_loan(message, now)
         return []
 
     @handles(messages.Probe, messages.Ack, messages.ProbeFor)
--- a/landingspool/decisions/placement.py
+++ b/landingspool/decisions/placement.py
@@ -33,12 +33,12 @@
 
 def locate_context(directory, work, version):
     """Look up the pieces of a request for a weight version."""
-    keys = name_pieces(work.pieces, version)
+    keys = compute_keys(work.pieces, version)
     stored = directory.find_stored(keys)
     return ContextLocation(keys, stored, any(stored))
 
 
-def name_pieces(pieces, version):
+def compute_keys(pieces, version):
     """Return the keys of pieces for a weight version."""
     return tuple(identity.add_version(piece, version) for piece in pieces)
 
@@ -68,7 +68,7 @@
         name,
         free,
         report.running,
-        len(target.flights),
+        len(target.active_grants),
         target.measure_backlog(),
         report.prefill,
         cached * identity.PIECE_TOKENS,
--- a/landingspool/decisions/pool.py
+++ b/landingspool/decisions/pool.py
@@ -23,7 +23,7 @@
 MIN_HOLD_S = 0.02
 
 
-class Flight(typing.NamedTuple):
+class ActiveGrant(typing.NamedTuple):
     """Grant that has not been returned yet.
 
     Attributes
@@ -84,7 +84,7 @@
         self.report = None
         self.received_at = float('-inf')
         self.made_at = float('-inf')
-        self.flights = {}
+        self.active_grants = {}
         self.breaker = retries.Breaker()
         self.slowness = 1.0
         self.leaving_incarnations = set()
@@ -148,12 +148,14 @@
 
     def count_free(self, now):
         """Return the number of free slots after all grants."""
-        free = self.report.slots - self._others_running - len(self.flights)
+        free = (
+            self.report.slots - self._others_running - len(self.active_grants)
+        )
         if self.breaker.state != retries.CLOSED:
             allowed, self.breaker = retries.allow(
-                self.breaker, now, len(self.flights)
+                self.breaker, now, len(self.active_grants)
             )
-            free = min(free, allowed - len(self.flights))
+            free = min(free, allowed - len(self.active_grants))
         return free
 
     def measure_backlog(self):
@@ -170,21 +172,21 @@
         rate = self.report.prefill / self.slowness
         return self.measure_backlog() / rate
 
-    def add_grant(self, flight):
+    def add_grant(self, active_grant):
         """Record a grant for this target."""
-        known = flight.grant in self.flights
-        self.flights[flight.grant] = flight
-        if not known and flight.since >= self.made_at:
-            self._granted_since_report += flight.compute
+        known = active_grant.grant in self.active_grants
+        self.active_grants[active_grant.grant] = active_grant
+        if not known and active_grant.since >= self.made_at:
+            self._granted_since_report += active_grant.compute
 
     def end_grant(self, grant, now):
         """Remove a grant from this target."""
-        flight = self.flights.pop(grant, None)
-        if flight is None:
+        active_grant = self.active_grants.pop(grant, None)
+        if active_grant is None:
             return
-        self._ended.append((flight.since, now, flight.compute))
-        if flight.since >= self.made_at:
-            self._granted_since_report -= flight.compute
+        self._ended.append((active_grant.since, now, active_grant.compute))
+        if active_grant.since >= self.made_at:
+            self._granted_since_report -= active_grant.compute
 
     def record_hold(self, held):
         """Record how long a finished request held its slot, in seconds."""
@@ -197,7 +199,7 @@
         if not self.report.queued_tokens or not report.queued_tokens:
             return
         seconds = made_at - self.made_at
-        rows = [(f.since, f.compute) for f in self.flights.values()]
+        rows = [(f.since, f.compute) for f in self.active_grants.values()]
         rows += [(since, compute) for since, _, compute in self._ended]
         arrived = sum(
             c for since, c in rows if self.made_at <= since < made_at
@@ -219,16 +221,18 @@
         # than underestimated.
         made_at = self.made_at
         self._ended = [row for row in self._ended if row[1] >= made_at]
-        flights = self.flights.values()
-        own = sum(1 for flight in flights if flight.since < made_at)
+        active_grants = self.active_grants.values()
+        own = sum(
+            1 for active_grant in active_grants if active_grant.since < made_at
+        )
         own += sum(1 for since, _, _ in self._ended if since < made_at)
         self._others_running = max(self.report.running - own, 0)
         self._granted_since_report = sum(
-            f.compute for f in flights if f.since >= made_at
+            f.compute for f in active_grants if f.since >= made_at
         )
 
 
-def measure_rate(targets, compute):
+def compute_request_rate(targets, compute):
     """Return the number of requests a second that targets can process.
 
     It is limited by their slots or by their prefill speed, whichever
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -137,7 +137,9 @@
         """Return whether a target has grants of this box or no report yet."""
         for pool_scheduler in self.schedulers.values():
             known = pool_scheduler.targets.get(target)
-            if known is not None and (known.flights or known.report is None):
+            if known is not None and (
+                known.active_grants or known.report is None
+            ):
                 return True
         return False
 
@@ -153,14 +155,14 @@
         pool_scheduler = self.schedulers.get(done.pool)
         if pool_scheduler is None:
             return []
-        flight = pool_scheduler.flights.get(done.grant)
+        active_grant = pool_scheduler.active_grants.get(done.grant)
         actions = pool_scheduler.finish(done, now)
-        if done.outcome != 'ok' or flight is None:
+        if done.outcome != 'ok' or active_grant is None:
             return actions
-        target = pool_scheduler.targets.get(flight.target)
+        target = pool_scheduler.targets.get(active_grant.target)
         pool_keeper = self.keepers[done.pool]
         more = pool_keeper.plan(
-            flight, target, pool_scheduler.directory, shares, now
+            active_grant, target, pool_scheduler.directory, shares, now
         )
         return [*actions, *more]
 
@@ -255,7 +257,8 @@
         # it waits for the lease like any successor.
         self.holders.pop(pool, None)
         idle = (
-            not pool_scheduler.flights and not pool_scheduler.count_waiting()
+            not pool_scheduler.active_grants
+            and not pool_scheduler.count_waiting()
         )
         if idle and now - pool_scheduler.started > IDLE_S:
             del self.schedulers[pool]
--- a/landingspool/decisions/request.py
+++ b/landingspool/decisions/request.py
@@ -56,7 +56,7 @@
     """A signal that the state table does not allow; an internal error."""
 
 
-class Life(typing.NamedTuple):
+class RequestState(typing.NamedTuple):
     """State of one request.
 
     Attributes
@@ -153,7 +153,7 @@
         If the table has no transition for the signal in this state, or if
         a retry might execute non-repeatable work twice.
 
-    >>> current = Life(repeatable=False)
+    >>> current = RequestState(repeatable=False)
     >>> for signal in (Signal.START, Signal.GRANT, Signal.SEND):
     ...     current = advance(current, signal)
     >>> current.state.value, current.verdict.value
--- a/landingspool/decisions/scheduler.py
+++ b/landingspool/decisions/scheduler.py
@@ -13,7 +13,6 @@
 from landingspool.decisions import directory
 from landingspool.decisions import fairness
 from landingspool.decisions import identity
-from landingspool.decisions import lack
 from landingspool.decisions import messages
 from landingspool.decisions import outputs
 from landingspool.decisions import placement
@@ -21,6 +20,7 @@
 from landingspool.decisions import records
 from landingspool.decisions import retries
 from landingspool.decisions import routing
+from landingspool.decisions import shortage
 from landingspool.decisions import spill
 
 MAX_HOPS = 1
@@ -56,11 +56,11 @@
         self.box = box
         self.policy = policy
         self.started = started
-        self._lack = lack.Lack(started)
+        self._shortage = shortage.Shortage(started)
         self.targets = {}
         self.queue = fairness.FairQueue(policy.charge)
         self.directory = directory.Directory()
-        self.flights = {}
+        self.active_grants = {}
         self.rooms = {}
         self.rng = random.Random(f'{policy.seed}/{box}/{model}')
         self.policy_state = routing.PolicyState(self.rng.random())
@@ -145,14 +145,17 @@
 
     def finish(self, done, now):
         """Process a returned grant and update the estimates from it."""
-        flight = self.flights.pop(done.grant, None)
-        if flight is None:
+        active_grant = self.active_grants.pop(done.grant, None)
+        if active_grant is None:
             return []
         self._by_request.pop(done.request, None)
-        target = self.targets.get(flight.target)
+        target = self.targets.get(active_grant.target)
         computed = max(done.prompt_tokens - done.cached_tokens, 0)
         self.queue.settle(
-            flight.work.workspace, flight.charged, computed, done.output_tokens
+            active_grant.work.workspace,
+            active_grant.charged,
+            computed,
+            done.output_tokens,
         )
         if done.fetched:
             seconds = done.fetch_s / done.fetched
@@ -165,7 +168,7 @@
             )
         if target is not None:
             target.end_grant(done.grant, now)
-            OUTCOMES[done.outcome](self, target, flight, done, now)
+            OUTCOMES[done.outcome](self, target, active_grant, done, now)
         return self.place(now)
 
     def withdraw(self, request):
@@ -184,13 +187,13 @@
         lease = self.policy.grant_lease_s
         unknown = 0
         for grant in announce.renewed:
-            flight = self.flights.get(grant)
-            if flight is None:
+            active_grant = self.active_grants.get(grant)
+            if active_grant is None:
                 unknown += 1
             else:
-                self._set_grant(flight._replace(until=now + lease))
+                self._set_grant(active_grant._replace(until=now + lease))
         for held in announce.held:
-            if held.grant not in self.flights:
+            if held.grant not in self.active_grants:
                 self._adopt_grant(held, now)
         for work in announce.waiting:
             if not self._is_known(work.request):
@@ -220,12 +223,12 @@
         After a stall, reports are too old even if the targets are healthy,
         and entry boxes may have sent renewals during it.
         """
-        self._lack.resume(now)
-        for flight in list(self.flights.values()):
-            until = flight.until + seconds
-            self._set_grant(flight._replace(until=until))
+        self._shortage.resume(now)
+        for active_grant in list(self.active_grants.values()):
+            until = active_grant.until + seconds
+            self._set_grant(active_grant._replace(until=until))
 
-    def take_events(self, name, events, gap):
+    def apply_cache_events(self, name, events, gap):
         """Apply cache events of a target; a gap invalidates earlier ones."""
         if gap:
             self.directory.record_gap(name)
@@ -275,10 +278,10 @@
     def _resend_grant(self, work):
         # The answer to an Ask was lost with its link.  The same grant is
         # sent again, never a second one.
-        flight = self.flights[self._by_request[work.request]]
-        if flight.message is None:
+        active_grant = self.active_grants[self._by_request[work.request]]
+        if active_grant.message is None:
             return []
-        return [outputs.Send(work.entry, flight.message)]
+        return [outputs.Send(work.entry, active_grant.message)]
 
     def _is_known(self, request):
         return request in self._waiting or request in self._by_request
@@ -287,8 +290,8 @@
         # Returns the reason to refuse a request, or an empty one, and the
         # seconds that it would wait.
         if not usable:
-            settling = self._lack.is_settling(self.targets.values(), now)
-            return ('' if settling else 'no_target'), lack.SETTLE_S
+            settling = self._shortage.is_settling(self.targets.values(), now)
+            return ('' if settling else 'no_target'), shortage.SETTLE_S
         if not self.queue.length:
             if self._list_free(usable, now):
                 return '', 0.0
@@ -301,8 +304,8 @@
         if not ahead:
             return 0.0
         usable = self._list_usable(now)
-        rate = pool.measure_rate(usable, self._mean_compute_tokens)
-        return ahead / rate if rate else lack.SETTLE_S
+        rate = pool.compute_request_rate(usable, self._mean_compute_tokens)
+        return ahead / rate if rate else shortage.SETTLE_S
 
     def _find_spill(self, work, wait, reason, usable, now):
         if work.hops >= MAX_HOPS or not self.rooms:
@@ -326,7 +329,7 @@
         views = self._make_views(work, free)[0]
         return min(
             (routing.estimate_first_token(work, view) for view in views),
-            default=lack.SETTLE_S,
+            default=shortage.SETTLE_S,
         )
 
     def _list_usable(self, now):
@@ -402,7 +405,7 @@
             view.cached,
             work.offset,
         )
-        flight = pool.Flight(
+        active_grant = pool.ActiveGrant(
             grant,
             work,
             view.target,
@@ -413,19 +416,19 @@
             located.keys,
             message,
         )
-        self._set_grant(flight)
+        self._set_grant(active_grant)
         self.directory.record_cached(view.target, located.keys)
         return outputs.Send(work.entry, message)
 
-    def _set_grant(self, flight):
-        self.flights[flight.grant] = flight
-        self._by_request[flight.work.request] = flight.grant
-        if flight.target in self.targets:
-            self.targets[flight.target].add_grant(flight)
+    def _set_grant(self, active_grant):
+        self.active_grants[active_grant.grant] = active_grant
+        self._by_request[active_grant.work.request] = active_grant.grant
+        if active_grant.target in self.targets:
+            self.targets[active_grant.target].add_grant(active_grant)
 
     def _adopt_grant(self, held, now):
         charged = self.queue.reserve(held.work.workspace, 0)
-        flight = pool.Flight(
+        active_grant = pool.ActiveGrant(
             held.grant,
             held.work,
             held.target,
@@ -435,7 +438,7 @@
             0,
             (),
         )
-        self._set_grant(flight)
+        self._set_grant(active_grant)
 
     def _refuse(self, work, reason, wait):
         after = retries.spread_retry_after(wait, self.rng)
@@ -457,7 +460,7 @@
     def _refuse_without_targets(self, now):
         """Answer waiting requests if no target has been usable for long."""
         usable = self._list_usable(now)
-        if not self._lack.has_lasted(usable, self.targets.values(), now):
+        if not self._shortage.has_lasted(usable, self.targets.values(), now):
             return []
         return [
             self._spill_or_refuse(r, now) for r in [*self._waiting.values()]
@@ -468,40 +471,45 @@
         waited, left = now - row.arrived, row.deadline - now
         work = row.work._replace(waited=waited, left=left)
         self.withdraw(work.request)
-        spill = self._find_spill(work, lack.SETTLE_S, 'no_target', [], now)
+        spill = self._find_spill(work, shortage.SETTLE_S, 'no_target', [], now)
         if not spill:
-            return self._refuse(work, 'no_target', lack.SETTLE_S)
+            return self._refuse(work, 'no_target', shortage.SETTLE_S)
         return outputs.Send(work.entry, messages.Spill(work.request, spill))
 
     def _expire_grants(self, now):
         notes = []
-        for flight in list(self.flights.values()):
-            if now < flight.until:
+        for active_grant in list(self.active_grants.values()):
+            if now < active_grant.until:
                 continue
-            self.flights.pop(flight.grant)
-            self._by_request.pop(flight.work.request, None)
-            self.queue.settle(flight.work.workspace, flight.charged, 0, 0)
-            target = self.targets.get(flight.target)
+            self.active_grants.pop(active_grant.grant)
+            self._by_request.pop(active_grant.work.request, None)
+            self.queue.settle(
+                active_grant.work.workspace, active_grant.charged, 0, 0
+            )
+            target = self.targets.get(active_grant.target)
             if target is not None:
-                target.end_grant(flight.grant, now)
-            fields = {'request': flight.work.request, 'target': flight.target}
+                target.end_grant(active_grant.grant, now)
+            fields = {
+                'request': active_grant.work.request,
+                'target': active_grant.target,
+            }
             notes.append(outputs.Note('lapsed', fields))
         return notes
 
-    def _end_ok(self, target, flight, done, now):
+    def _end_ok(self, target, active_grant, done, now):
         target.breaker = retries.record_success(target.breaker, now)
         target.record_hold(done.held)
-        self.directory.record_cached(flight.target, flight.keys)
+        self.directory.record_cached(active_grant.target, active_grant.keys)
 
-    def _end_failed(self, target, flight, done, now):
+    def _end_failed(self, target, active_grant, done, now):
         target.breaker = retries.record_failure(target.breaker, now)
-        self.directory.record_evicted(flight.target, flight.keys)
+        self.directory.record_evicted(active_grant.target, active_grant.keys)
 
-    def _end_unused(self, target, flight, done, now):
+    def _end_unused(self, target, active_grant, done, now):
         if target.breaker.state == retries.PROBING:
             target.breaker = target.breaker._replace(state=retries.OPEN)
 
-    def _end_leaving(self, target, flight, done, now):
+    def _end_leaving(self, target, active_grant, done, now):
         target.mark_leaving(target.incarnation)
 
 
--- a/landingspool/decisions/lack.py
+++ b/landingspool/decisions/shortage.py
@@ -10,7 +10,7 @@
 SETTLE_S = 1.0
 
 
-class Lack:
+class Shortage:
     """Shortage of usable targets in one pool.
 
     Parameters
@@ -30,7 +30,8 @@
     def is_settling(self, targets, now):
         """Return whether a usable target may still report.
 
-        >>> Lack(1.0).is_settling([], 1.5), Lack(1.0).is_settling([], 2.0)
+        >>> shortage = Shortage(1.0)
+        >>> shortage.is_settling([], 1.5), shortage.is_settling([], 2.0)
         (True, False)
         """
         if now >= self._settles_until:
@@ -40,7 +41,7 @@
     def has_lasted(self, usable, targets, now):
         """Return whether queued requests have waited long enough for a target.
 
-        >>> shortage = Lack(1.0)
+        >>> shortage = Shortage(1.0)
         >>> [shortage.has_lasted([], [], now) for now in (1.5, 2.0, 2.5)]
         [False, False, True]
         """
--- a/landingspool/decisions/spill.py
+++ b/landingspool/decisions/spill.py
@@ -10,7 +10,7 @@
 
 from landingspool.decisions import messages
 
-SUMMARY_OLD_S = 5.0
+MAX_SUMMARY_AGE_S = 5.0
 MARGIN_S = 0.1
 # Expected wait for a slot of a pool that is full but whose queue is empty.
 FULL_POOL_WAIT_S = 0.5
@@ -69,7 +69,7 @@
     best, first = '', local_s
     for domain, received in sorted(rooms.items()):
         if (
-            now - received.received_at > SUMMARY_OLD_S
+            now - received.received_at > MAX_SUMMARY_AGE_S
             or not received.room.targets
         ):
             continue
--- a/landingspool/decisions/timing.py
+++ b/landingspool/decisions/timing.py
@@ -30,10 +30,10 @@
     return now - last
 
 
-class Beat:
+class Heartbeat:
     """Time of the last heartbeat of the timer.
 
-    >>> heartbeat = Beat()
+    >>> heartbeat = Heartbeat()
     >>> heartbeat.record(10.0)
     >>> heartbeat.is_fresh(10.2), heartbeat.is_fresh(14.0)
     (True, False)
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -80,7 +80,7 @@
         self.view = view_module.View(
             place.domain, place.bounds, seed, place.regions
         )
-        self.beat = timing.Beat()
+        self.beat = timing.Heartbeat()
         self.client = httpclient.Client()
         self.store = store.Store(self.client, place.store, clock)
         self.hearing = hearing.Hearing(self)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -73,7 +73,7 @@
     work = queue.pop()
     charged = queue.reserve('a', work.prompt_tokens)
     queue.settle('a', charged, work.prompt_tokens, 10)
-    used = fairness.measure_cost(work.prompt_tokens, 10)
+    used = fairness.compute_cost(work.prompt_tokens, 10)
     assert queue.get_served('a') == used
 
 
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -33,7 +33,7 @@
 def test_work_stays_where_its_context_is_worth_more_than_a_short_wait():
     owned = make_busy(backlog=1500)
     work = examples.make_work('r1', pieces=8)
-    keys = placement.name_pieces(work.pieces, 'v1')
+    keys = placement.compute_keys(work.pieces, 'v1')
     owned.directory.record_cached('t1', keys)
     owned.record_room('south', IDLE, 0.0)
     (message,) = ask(owned, work)
@@ -53,7 +53,7 @@
 
 def test_old_summary_counts_for_nothing():
     owned = make_busy()
-    owned.record_room('south', IDLE, -spill.SUMMARY_OLD_S - 1)
+    owned.record_room('south', IDLE, -spill.MAX_SUMMARY_AGE_S - 1)
     (message,) = ask(owned, examples.make_work('r1'))
     assert isinstance(message, messages.Grant)
 
