--- a/landingspool/decisions/entry.py
+++ b/landingspool/decisions/entry.py
@@ -15,11 +15,11 @@
 from landingspool.decisions import records
 from landingspool.decisions import timing
 
-ANSWER_S = 0.4
+ANSWER_TIMEOUT_S = 0.4
 # Waiting requests are announced often, so that a new scheduler soon has
 # them.  Grants only need to be renewed before their lease ends.
-ANNOUNCE_S = 2.0
-RENEW_S = 5.0
+ANNOUNCE_INTERVAL_S = 2.0
+RENEW_INTERVAL_S = 5.0
 MAX_ASKS = 8
 SILENT_RETRY_AFTER_S = 2.0
 
@@ -165,8 +165,8 @@
         actions = []
         for request, tracked in list(self._tracked.items()):
             actions += self._follow_up(request, tracked, now)
-        renew = now - self._renewed_at >= RENEW_S
-        if renew or now - self._announced_at >= ANNOUNCE_S:
+        renew = now - self._renewed_at >= RENEW_INTERVAL_S
+        if renew or now - self._announced_at >= ANNOUNCE_INTERVAL_S:
             self._announced_at = now
             actions += self._announce(now, renew)
         if renew:
@@ -299,14 +299,17 @@
 
     def _follow_up(self, request, tracked, now):
         actions = []
-        if not tracked.reserved and now - tracked.limit_asked_at >= ANSWER_S:
+        if (
+            not tracked.reserved
+            and now - tracked.limit_asked_at >= ANSWER_TIMEOUT_S
+        ):
             tracked = tracked._replace(limit_asks=tracked.limit_asks + 1)
             self._tracked[request] = tracked
             actions += self._reserve(tracked, now)
         tracked = self._tracked[request]
         if tracked.grant is not None:
             return actions
-        if not tracked.answered and now - tracked.asked_at >= ANSWER_S:
+        if not tracked.answered and now - tracked.asked_at >= ANSWER_TIMEOUT_S:
             return actions + self._ask_next(request, tracked, now)
         if tracked.answered and self._has_moved(tracked):
             self._tracked[request] = tracked._replace(asks=0)
--- a/landingspool/decisions/limiter.py
+++ b/landingspool/decisions/limiter.py
@@ -19,12 +19,12 @@
 
 LOAN_TERM_S = 10.0
 LENDER_MARGIN_S = 2.0
-RENEW_S = 5.0
+RENEW_AHEAD_S = 5.0
 PERMIT_LEASE_S = 15.0
-ASK_PERIOD_S = 0.25
-ASK_AHEAD = 1
+ASK_INTERVAL_S = 0.25
+EXTRA_PERMITS = 1
 SWEEP_BATCH = 8
-MAX_RECORDED_ASKS = int(LOAN_TERM_S / ASK_PERIOD_S) + 1
+MAX_RECORDED_ASKS = int(LOAN_TERM_S / ASK_INTERVAL_S) + 1
 
 
 class Permit(typing.NamedTuple):
@@ -58,7 +58,7 @@
         Permits lent and borrowed.
     wanted : int
         Requests refused since permits were last asked for.
-    asked : float
+    asked_at : float
         Monotonic time in seconds at which permits were last asked for.
     """
 
@@ -67,7 +67,7 @@
         self.loans_out = []
         self.loans_in = []
         self.wanted = 0
-        self.asked = float('-inf')
+        self.asked_at = float('-inf')
 
     def expire(self, now):
         """Remove expired loans and permits."""
@@ -114,7 +114,7 @@
         self._accounts = {}
         self._loans = itertools.count(1)
         self._asks = {}
-        self._short = set()
+        self._borrowers = set()
         self._to_sweep = []
 
     def reserve(self, request, entry, workspace, limit, domains, now):
@@ -132,8 +132,8 @@
             account.used[request] = Permit(entry, now + PERMIT_LEASE_S)
             return messages.Reserved(request, True, 0.0)
         account.wanted += 1
-        self._short.add(workspace)
-        after = retries.spread_retry_after(ASK_PERIOD_S, self._rng)
+        self._borrowers.add(workspace)
+        after = retries.spread_retry_after(ASK_INTERVAL_S, self._rng)
         return messages.Reserved(request, False, after)
 
     def release(self, request, workspace):
@@ -173,13 +173,13 @@
         asks = []
         if len(domains) < 2:
             return asks
-        for workspace in list(self._short):
+        for workspace in list(self._borrowers):
             account = self._open(workspace, now)
             limit = limit_of(workspace)
             if limit:
                 asks += self._ask(workspace, account, limit, domains, now)
             if not account.wanted and not account.loans_in:
-                self._short.discard(workspace)
+                self._borrowers.discard(workspace)
         return asks
 
     def _sweep(self, now):
@@ -233,7 +233,7 @@
             return
         loan = Loan(lend.loan, lend.domain, lend.amount, until)
         account.loans_in.append(loan)
-        self._short.add(lend.workspace)
+        self._borrowers.add(lend.workspace)
 
     def count_used(self, workspace):
         """Return the number of permits in use."""
@@ -258,13 +258,13 @@
         lasting = sum(
             loan.amount
             for loan in account.loans_in
-            if loan.until > now + RENEW_S
+            if loan.until > now + RENEW_AHEAD_S
         )
-        need = short + ASK_AHEAD - lasting
-        if short <= 0 or need <= 0 or now - account.asked < ASK_PERIOD_S:
+        need = short + EXTRA_PERMITS - lasting
+        if short <= 0 or need <= 0 or now - account.asked_at < ASK_INTERVAL_S:
             account.wanted = 0 if short <= 0 else account.wanted
             return []
-        account.asked = now
+        account.asked_at = now
         account.wanted = 0
         asks = []
         for domain in sorted(domains):
--- a/landingspool/decisions/pool.py
+++ b/landingspool/decisions/pool.py
@@ -199,7 +199,10 @@
         if not self.report.queued_tokens or not report.queued_tokens:
             return
         seconds = made_at - self.made_at
-        rows = [(f.since, f.compute) for f in self.active_grants.values()]
+        rows = [
+            (grant.since, grant.compute)
+            for grant in self.active_grants.values()
+        ]
         rows += [(since, compute) for since, _, compute in self._ended]
         arrived = sum(
             c for since, c in rows if self.made_at <= since < made_at
@@ -222,13 +225,11 @@
         made_at = self.made_at
         self._ended = [row for row in self._ended if row[1] >= made_at]
         active_grants = self.active_grants.values()
-        own = sum(
-            1 for active_grant in active_grants if active_grant.since < made_at
-        )
+        own = sum(1 for grant in active_grants if grant.since < made_at)
         own += sum(1 for since, _, _ in self._ended if since < made_at)
         self._others_running = max(self.report.running - own, 0)
         self._granted_since_report = sum(
-            f.compute for f in active_grants if f.since >= made_at
+            grant.compute for grant in active_grants if grant.since >= made_at
         )
 
 
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -13,7 +13,7 @@
 from landingspool.decisions import scheduler
 from landingspool.decisions import spill
 
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 
 
 class Pools:
@@ -210,7 +210,7 @@
         """Record a summary from another domain."""
         for room in summary.rooms:
             rooms = self._rooms.setdefault(room.model, {})
-            rooms[summary.domain] = spill.ReceivedRoom(room, now)
+            rooms[summary.domain] = spill.ReceivedSummary(room, now)
 
     def summarize(self, now):
         """Send summaries of pools with targets to the other domains."""
@@ -260,7 +260,7 @@
             not pool_scheduler.active_grants
             and not pool_scheduler.count_waiting()
         )
-        if idle and now - pool_scheduler.started > IDLE_S:
+        if idle and now - pool_scheduler.started > IDLE_TIMEOUT_S:
             del self.schedulers[pool]
             del self._rollouts[pool]
             del self.keepers[pool]
--- a/landingspool/decisions/retries.py
+++ b/landingspool/decisions/retries.py
@@ -10,11 +10,11 @@
 BUDGET_SHARE = 0.1
 BUDGET_BURST = 10.0
 FAILURES_TO_OPEN = 3
-OPEN_S = 2.0
+INITIAL_OPEN_S = 2.0
 MAX_OPEN_S = 30.0
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 30.0
-SPREAD = 0.5
+RETRY_AFTER_JITTER = 0.5
 
 CLOSED = 'closed'
 OPEN = 'open'
@@ -78,7 +78,7 @@
     state: str = CLOSED
     failures: int = 0
     until: float = 0.0
-    wait: float = OPEN_S
+    wait: float = INITIAL_OPEN_S
 
 
 def record_success(breaker, now):
@@ -141,5 +141,7 @@
         Whole seconds, as the Retry-After header requires.
     """
     bounded = min(max(seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
-    spread = bounded * rng.uniform(1 - SPREAD, 1 + SPREAD)
+    spread = bounded * rng.uniform(
+        1 - RETRY_AFTER_JITTER, 1 + RETRY_AFTER_JITTER
+    )
     return float(max(1, round(spread + MIN_RETRY_AFTER_S)))
--- a/landingspool/decisions/scheduler.py
+++ b/landingspool/decisions/scheduler.py
@@ -269,7 +269,7 @@
 
     def record_room(self, domain, room, now):
         """Record another domain's summary of its pool."""
-        self.rooms[domain] = spill.ReceivedRoom(room, now)
+        self.rooms[domain] = spill.ReceivedSummary(room, now)
 
     def count_waiting(self):
         """Return the number of requests in the queue."""
--- a/landingspool/decisions/spill.py
+++ b/landingspool/decisions/spill.py
@@ -16,7 +16,7 @@
 FULL_POOL_WAIT_S = 0.5
 
 
-class ReceivedRoom(typing.NamedTuple):
+class ReceivedSummary(typing.NamedTuple):
     """Summary of a remote pool.
 
     Attributes
@@ -40,7 +40,7 @@
 
     >>> room = messages.Room('m', 2, 0.5, 20_000.0, 2)
     >>> Work = typing.NamedTuple('Work', prompt_tokens=int)
-    >>> estimate_remote(ReceivedRoom(room, 0.0), Work(10_000))
+    >>> estimate_remote(ReceivedSummary(room, 0.0), Work(10_000))
     1.6
     """
     room = received.room
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    rooms : dict of str to ReceivedRoom
+    rooms : dict of str to ReceivedSummary
         By domain.  The request is added to the entry of the chosen domain.
     work : records.Work
     local_s : float
