--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -114,7 +114,7 @@
             workspace=self.row.workspace,
             model=demand.model,
             pieces=self.pieces,
-            prompt_tokens=identity.count_tokens(demand.prompt),
+            prompt_tokens=identity.estimate_tokens(demand.prompt),
             output_tokens=demand.max_tokens,
             waited=0.0,
             left=demand.deadline_s,
--- a/landingspool/core.py
+++ b/landingspool/core.py
@@ -8,7 +8,7 @@
 import asyncio
 import traceback
 
-from landingspool.decisions import keeper
+from landingspool.decisions import kv_offload
 from landingspool.decisions import outputs
 from landingspool import http
 from landingspool.stores import client as stores
@@ -281,10 +281,10 @@
 
 PERFORMERS = {
     outputs.Send: Core._send,
-    outputs.Note: Core._record,
+    outputs.TimelineEvent: Core._record,
     outputs.Decide: Core._decide,
     outputs.Relay: Core._relay,
     outputs.Command: Core._command,
-    keeper.Export: Core._export,
-    keeper.Free: Core._free,
+    kv_offload.Export: Core._export,
+    kv_offload.Free: Core._free,
 }
--- a/landingspool/decisions/limiter.py
+++ b/landingspool/decisions/limiter.py
@@ -162,7 +162,7 @@
                 until = permit.until + seconds
                 account.used[request] = permit._replace(until=until)
 
-    def tick(self, limit_of, domains, now):
+    def tick(self, get_limit, domains, now):
         """Return the Borrow messages that are due, as (domain, message).
 
         Only accounts that want or have borrowed permits are processed.  The
@@ -175,7 +175,7 @@
             return asks
         for workspace in list(self._borrowers):
             account = self._open(workspace, now)
-            limit = limit_of(workspace)
+            limit = get_limit(workspace)
             if limit:
                 asks += self._ask(workspace, account, limit, domains, now)
             if not account.wanted and not account.loans_in:
--- a/landingspool/decisions/placement.py
+++ b/landingspool/decisions/placement.py
@@ -34,7 +34,7 @@
 def locate_context(directory, work, version):
     """Look up the pieces of a request for a weight version."""
     keys = compute_keys(work.pieces, version)
-    stored = directory.find_stored(keys)
+    stored = directory.list_stored(keys)
     return ContextLocation(keys, stored, any(stored))
 
 
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -5,7 +5,7 @@
 targets.
 """
 
-from landingspool.decisions import keeper
+from landingspool.decisions import kv_offload
 from landingspool.decisions import messages
 from landingspool.decisions import outputs
 from landingspool.decisions import ownership
@@ -53,7 +53,9 @@
             pool_scheduler.rooms = self._rooms.setdefault(model, {})
             self.schedulers[pool] = pool_scheduler
             self._rollouts[pool] = rollout.Rollout()
-            self.keepers[pool] = keeper.Keeper(self._writer, self._retention)
+            self.keepers[pool] = kv_offload.Keeper(
+                self._writer, self._retention
+            )
         return pool_scheduler
 
     def tick(self, table, now):
@@ -98,7 +100,7 @@
         contents : dict of str to stores.client.Contents
             By store, without the stores that did not answer.
         """
-        pools = max(self._roster.count_pools(), 1)
+        pools = max(self._roster.count_target_shards(), 1)
         capacities = {
             name: found.room // pools for name, found in contents.items()
         }
--- a/landingspool/decisions/scheduler.py
+++ b/landingspool/decisions/scheduler.py
@@ -76,7 +76,7 @@
 
         Returns
         -------
-        list of Note
+        list of TimelineEvent
         """
         notes = []
         for member in members:
@@ -86,7 +86,7 @@
             target.member = member
             if member.leaving and target.mark_leaving(member.incarnation):
                 fields = {'target': member.name, 'source': 'live_list'}
-                notes.append(outputs.Note('leaving', fields))
+                notes.append(outputs.TimelineEvent('leaving', fields))
         known = {member.name for member in members}
         for name in [n for n in self.targets if n not in known]:
             del self.targets[name]
@@ -203,7 +203,7 @@
         return unknown
 
     def report(self, report, now):
-        """Record a load report; return a list of Note."""
+        """Record a load report; return a list of TimelineEvent."""
         target = self.targets.get(report.target)
         if target is None:
             return []
@@ -214,7 +214,7 @@
             self.directory.forget_target(report.target)
         if target.is_leaving() and not leaving:
             fields = {'target': report.target, 'source': 'report'}
-            return [outputs.Note('leaving', fields)]
+            return [outputs.TimelineEvent('leaving', fields)]
         return []
 
     def resume(self, seconds, now):
@@ -243,7 +243,7 @@
 
         Returns
         -------
-        tuple of (list of Send, list of Note)
+        tuple of (list of Send, list of TimelineEvent)
         """
         # The estimate returns slowly to its initial value.  Otherwise no
         # request would fetch over a link once it was slow, and no new
@@ -493,7 +493,7 @@
                 'request': active_grant.work.request,
                 'target': active_grant.target,
             }
-            notes.append(outputs.Note('lapsed', fields))
+            notes.append(outputs.TimelineEvent('lapsed', fields))
         return notes
 
     def _end_ok(self, target, active_grant, done, now):
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -34,7 +34,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `view`, `upstream`, `prober`, `beat`, `recorder`,
+        The box's parts: `view`, `upstream`, `prober`, `heartbeat`, `recorder`,
         `metrics`, `clock`, `timer`.
     progress : progress.Progress
         The request; the try writes down what it did to it.
@@ -58,7 +58,7 @@
                 routes.may_repeat(self._progress.work.route),
                 self._view.find_kept(self._progress.work.service),
             )
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             reason = str(error)
             self._hub.prober.record_failed(self._plan.entry.name, reason)
             return outcomes.Unreached(reason)
@@ -73,7 +73,7 @@
         now = self._hub.clock()
         return (
             self._hub.timer.ran_since(self._planned)
-            and self._hub.beat.is_fresh(now)
+            and self._hub.heartbeat.is_fresh(now)
             and is_proved(self._view, now)
             and self._view.may_send(self._plan.entry, self._progress.work, now)
             and not self._find_bar(now)
@@ -187,7 +187,7 @@
                 head = await self._exchange.read_head()
         except TimeoutError:
             return self._lose('silent', outcomes.Cause.SILENT)
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             return self._lose_broken(error)
         self._record_version(head.version)
         self._record_words(head)
@@ -205,7 +205,7 @@
         except TimeoutError:
             # The caller's time is over; that tells nothing of the target.
             return outcomes.Lost('time_over', outcomes.Cause.TIME_OVER)
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             return self._lose_broken(error)
         except stream_module.Endless as error:
             return self._lose(str(error), outcomes.Cause.MALFORMED)
@@ -240,7 +240,7 @@
                 while await self._exchange.read_data():
                     pass
                 self._exchange.release()
-        except (TimeoutError, upstream_module.Broken):
+        except (TimeoutError, upstream_module.ExchangeError):
             self._exchange.abort()
         return outcomes.Rejected(head)
 
