--- a/landingspool/decisions/kv_offload.py
+++ b/landingspool/decisions/kv_offload.py
@@ -103,7 +103,7 @@
 
         Parameters
         ----------
-        flight : pool.Flight
+        flight : pool.ActiveGrant
             The grant of the request, with the keys of its pieces.
         target : pool.Target or None
         directory : directory.Directory
--- a/landingspool/decisions/node.py
+++ b/landingspool/decisions/node.py
@@ -250,7 +250,7 @@
         loan_requests = self.limiter.tick(self.get_limit, domains, now)
         actions = []
         for domain, message in loan_requests:
-            subject = entry.name_account(message.workspace)
+            subject = entry.make_limiter_key(message.workspace)
             box = ownership.find_owner(subject, self.roster.view(domain))
             if box:
                 actions.append(outputs.Send(box, message))
@@ -326,7 +326,7 @@
 
     @handles(messages.Lend)
     def _on_lend(self, sender, message, now):
-        self.limiter.borrowed(message, now)
+        self.limiter.accept_loan(message, now)
         return []
 
     @handles(messages.Probe, messages.Ack, messages.ProbeFor)
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -85,7 +85,7 @@
         self.view = view_module.View(
             place.domain, place.bounds, seed, place.regions
         )
-        self.heartbeat = timing.Beat()
+        self.heartbeat = timing.Heartbeat()
         self.client = httpclient.Client()
         self.store = store.Store(self.client, place.store, clock)
         self.hearing = hearing.Hearing(self)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of a pool, in small examples."""
+"""Tests of the scheduler of a pool."""
 
 import collections
 
@@ -11,7 +11,7 @@
 
 
 def get_grant(sends):
-    """Give the only grant among some messages."""
+    """Return the only grant among some messages."""
     (grant,) = [
         send.message
         for send in sends
@@ -21,7 +21,7 @@
 
 
 def finish(owned, work, grant, now, **changes):
-    """Give a grant back as a whole answer."""
+    """Return a grant after a complete answer."""
     done = messages.Done(
         request=work.request,
         grant=grant.grant,
@@ -52,7 +52,7 @@
     grant = get_grant(owned.ask(work, examples.SHARE, 0.0))
     finish(owned, work, grant, 0.5)
     key = identity.add_version(work.pieces[1], 'v1')
-    owned.take_events('t1', [Event(1, 'removed', key)], gap=False)
+    owned.apply_cache_events('t1', [Event(1, 'removed', key)], gap=False)
     again = examples.make_work('r1.2')
     second = get_grant(owned.ask(again, examples.SHARE, 1.0))
     assert second.cached == identity.PIECE_TOKENS
@@ -63,7 +63,7 @@
     work = examples.make_work('r1.1')
     grant = get_grant(owned.ask(work, examples.SHARE, 0.0))
     finish(owned, work, grant, 0.5)
-    owned.take_events('t1', [], gap=True)
+    owned.apply_cache_events('t1', [], gap=True)
     again = examples.make_work('r1.2')
     assert get_grant(owned.ask(again, examples.SHARE, 1.0)).cached == 0
 
@@ -84,7 +84,7 @@
     first = get_grant(owned.ask(work, examples.SHARE, 0.0))
     second = get_grant(owned.ask(work, examples.SHARE, 0.5))
     assert first == second
-    assert len(owned.flights) == 1
+    assert len(owned.active_grants) == 1
 
 
 def test_places_of_a_target_are_never_exceeded():
@@ -104,7 +104,7 @@
     owned.report(examples.make_report('t1'), 6.0)
     _, notes = owned.tick(6.0)
     assert [record.event for record in notes] == ['lapsed']
-    assert owned.flights == {}
+    assert owned.active_grants == {}
 
 
 def test_request_that_can_not_make_its_deadline_is_refused_at_once():
@@ -147,7 +147,7 @@
     owned = examples.make_scheduler(targets=('t1',))
     target = owned.targets['t1']
     for step in range(1, 12):
-        # It should work off 10,000 tokens a second and does a tenth.
+        # Its nominal speed is 10,000 tokens a second; it runs at a tenth.
         report = examples.make_report(
             't1', queued_tokens=20_000 - 250 * step, running=3
         )
@@ -186,7 +186,7 @@
 
 
 def test_scheduler_that_stood_still_waits_for_reports():
-    # Guards against refusals because reports aged while it did not run.
+    # Guards against refusals because reports expired during a stall.
     owned = examples.make_scheduler()
     owned.resume(6.0, 10.0)
     sends = owned.ask(examples.make_work('r1.1'), examples.SHARE, 10.0)
@@ -196,7 +196,7 @@
 
 
 def test_nobody_waits_for_targets_until_the_deadline():
-    # Guards against requests that are held although no target is left.
+    # Guards against requests that stay queued although no target is left.
     owned = examples.make_scheduler()
     owned.resume(6.0, 10.0)
     owned.ask(examples.make_work('r1.1'), examples.SHARE, 10.0)
