--- a/landingspool/__init__.py
+++ b/landingspool/__init__.py
@@ -1,3 +1,3 @@
-"""Serving system for language-model prompts that return after long gaps."""
+"""Serving system for language-model requests that reuse cached context."""
 
 VERSION = '0.1.0'
--- a/landingspool/box.py
+++ b/landingspool/box.py
@@ -1,7 +1,7 @@
-"""All parts of one box, put together; it opens no socket of its own.
+"""Assembly of all parts of one box; it opens no socket of its own.
 
-The daemon gives it real links, a real HTTP client and real clocks; tests
-give it others, and drive the same parts in virtual time.
+The daemon passes in real links, a real HTTP client and real clocks.  Tests
+pass in simulated ones and run the same parts in virtual time.
 """
 
 import asyncio
@@ -30,9 +30,15 @@
 
 
 class Outside(typing.NamedTuple):
-    """What a box reaches the world through.
+    """Interfaces of a box to its environment.
 
-    `clock` gives monotonic seconds, `wall` those of the wall clock.
+    Attributes
+    ----------
+    client : httpclient.Client
+    clock : callable
+        Returns monotonic time in seconds.
+    wall : callable
+        Returns wall-clock time in seconds.
     """
 
     client: typing.Any
@@ -47,17 +53,17 @@
     ----------
     settings : settings.Settings
     incarnation : str
-        Sorts after those of all earlier starts of this box.
-    outside : Outside
+        Identifies this start of the box; sorts after all earlier ones.
+    environment : Outside
     """
 
-    def __init__(self, settings, incarnation, outside):
+    def __init__(self, settings, incarnation, environment):
         self.settings = settings
         self.incarnation = incarnation
-        self.timer = timer_module.Timer(outside.clock)
-        self.recorder = events.Recorder(settings.box.name, outside.wall)
+        self.timer = timer_module.Timer(environment.clock)
+        self.recorder = events.Recorder(settings.box.name, environment.wall)
         self.metrics = metrics_module.Metrics()
-        self.client = outside.client
+        self.client = environment.client
         self.node = node_module.Node(
             settings.box.name,
             settings.box.domain,
@@ -70,45 +76,45 @@
         )
         self._stop = asyncio.Event()
         self._build_platform()
-        self._build_servers(outside.wall)
+        self._build_servers(environment.wall)
 
     def start(self, links):
-        """Begin to work, with `links` to the other boxes."""
+        """Start all tasks, with `links` to the other boxes."""
         self.core.links = links
         self.core.start(self.settings.policy.report_period_s)
-        self.core.keep(self._poll_live)
-        self.core.keep(self.follower.run)
-        self.core.keep(self.claims.run)
+        self.core.supervise(self._poll_live)
+        self.core.supervise(self.follower.run)
+        self.core.supervise(self.claims.run)
         self.recorder.record('started', incarnation=self.incarnation)
 
     def drain(self):
-        """Begin a planned stop."""
+        """Start a planned stop."""
         self._stop.set()
 
     async def wait_drained(self):
-        """Wait for a planned stop and until nothing is open any more."""
+        """Wait for a planned stop and until no request is open."""
         await self._stop.wait()
         self.recorder.record('draining', open=self.core.count_open())
         self.serving.stopping = True
         self.node.membership.leave()
-        # The others have to hear of it first: until then they may still
-        # ask this box as a scheduler, and it still answers.
+        # Peers have to receive the update first: until then they may still
+        # use this box as a scheduler, and it still answers.
         await asyncio.sleep(DRAIN_NOTICE_S)
         while self.core.count_open():
             await asyncio.sleep(DRAIN_POLL_S)
 
     async def close(self):
-        """End all tasks."""
+        """Cancel all tasks."""
         self.timer.close()
         await self.core.close()
         self.recorder.record('stopped')
 
     def _build_platform(self):
         platform = self.settings.platform
-        address = settings_module.take_address(platform.log)
+        address = settings_module.make_address(platform.log)
         self.log = log_module.Log(self.client, address)
         self.live = live.Live(
-            self.client, settings_module.take_address(platform.live)
+            self.client, settings_module.make_address(platform.live)
         )
         self.follower = follower.Follower(self.log, self.core)
         self.claims = claimer.Claimer(
@@ -135,15 +141,15 @@
     async def _poll_live(self):
         while True:
             members = await self.live.read()
-            # With the platform away the last list is kept: the boxes and
-            # targets on it are still there, as far as anybody knows.
+            # The last list stays in use while the platform is unavailable:
+            # its boxes and targets are presumed to be still alive.
             if not isinstance(members, outcomes.Unavailable):
                 self.core.set_members(members)
             await asyncio.sleep(LIVE_POLL_S)
 
 
 def make_policy(policy):
-    """Give the core's policy from the settings."""
+    """Return the policy of the decisions from the settings."""
     return policies.Policy(
         routing=policy.routing,
         charge=policy.charge,
--- a/landingspool/core.py
+++ b/landingspool/core.py
@@ -1,8 +1,9 @@
-"""Carries out what the pure core decides.
+"""Execution of the decisions of one box: all input and output around them.
 
-It owns the `Node` of this box and is the only part that calls it.  Each
-action of the node is done here: messages go to the links, decisions to the
-tasks of the requests, orders and moves to the targets and stores.
+`Core` owns the `Node` of this box and is the only part that calls it.  It
+carries out the actions that the node returns: it sends messages over the
+links, passes decisions to the tasks of the requests, and sends orders and
+transfers of blocks to targets and stores.
 """
 
 import asyncio
@@ -14,18 +15,18 @@
 from landingspool.stores import client as stores
 from landingspool.targets import client as targets
 
-TICK_S = 0.1
-FAULT_REST_S = 1.0
-STORES_S = 2.0
-EVENTS_S = 0.5
-# A target that has nothing of ours is asked less often: nothing that we
-# decide depends on it from one moment to the next.
-IDLE_REPORT_S = 1.0
-IDLE_EVENTS_S = 3.0
+TICK_PERIOD_S = 0.1
+RESTART_DELAY_S = 1.0
+STORE_POLL_S = 2.0
+EVENT_POLL_S = 0.5
+# A target without active grants of this box is polled less often: no decision
+# depends on its current load.
+IDLE_REPORT_POLL_S = 1.0
+IDLE_EVENT_POLL_S = 3.0
 
 
 class Core:
-    """The shell around the decisions of one box.
+    """Runs the decisions of one box and carries out their actions.
 
     Parameters
     ----------
@@ -49,29 +50,35 @@
         self._event_numbers = {}
 
     def start(self, report_period):
-        """Begin to tick and to poll; returns nothing."""
+        """Start the ticks and the polls.
+
+        Parameters
+        ----------
+        report_period : float
+            Seconds between two polls of the load of a busy target.
+        """
         self.timer.subscribe_stall(self._resume)
-        self.timer.subscribe(TICK_S, self._tick)
-        self.keep(lambda: self._poll_loads(report_period))
-        self.keep(self._poll_events)
-        self.keep(self._poll_stores)
+        self.timer.subscribe(TICK_PERIOD_S, self._tick)
+        self.supervise(lambda: self._poll_loads(report_period))
+        self.supervise(self._poll_events)
+        self.supervise(self._poll_stores)
 
     def spawn(self, coroutine):
-        """Run a task; what ends it wrongly goes to the log."""
+        """Start a task; an unhandled error in it is logged."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._end_task)
         return task
 
-    def keep(self, call):
-        """Run a task for as long as the process lives.
+    def supervise(self, call):
+        """Start a task that is restarted after an unhandled error.
 
-        One that ends by an error that nothing handled is logged and begins
-        anew: a box that stops following the platform would be worse.
+        The error is logged.  Without the restart the box would stop
+        following the platform.
         """
-        return self.spawn(self._keep_running(call))
+        return self.spawn(self._restart_on_fault(call))
 
-    async def _keep_running(self, call):
+    async def _restart_on_fault(self, call):
         while True:
             try:
                 await call()
@@ -79,52 +86,52 @@
             except Exception as error:
                 text = traceback.format_exc(limit=-3)
                 self.recorder.record('fault', error=repr(error), at=text)
-            await asyncio.sleep(FAULT_REST_S)
+            await asyncio.sleep(RESTART_DELAY_S)
 
     async def close(self):
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
 
     def deliver(self, sender, message):
-        """Take in a message from another box."""
+        """Handle a message from another box."""
         now = self.timer.look()
         self.perform(self.node.handle(sender, message, now))
 
     def open_inbox(self, request):
-        """Give the queue on which a request gets its decisions."""
+        """Return the queue on which a request receives its decisions."""
         self.timer.look()
         inbox = self._inboxes[request] = asyncio.Queue()
         self.metrics.open.set(len(self._inboxes))
         return inbox
 
     def close_inbox(self, request):
-        """End a request."""
+        """Remove the queue of a finished request and notify the node."""
         self._inboxes.pop(request, None)
         self.metrics.open.set(len(self._inboxes))
         now = self.timer.now()
         self.perform(self.node.end_request(request, now))
 
     def count_open(self):
-        """Give the number of requests that this box owns."""
+        """Return the number of requests that this box owns."""
         return len(self._inboxes)
 
     def set_members(self, members):
-        """Take in the live list."""
+        """Update the members from the live list of the platform."""
         self.perform(self.node.set_live(members, self.timer.now()))
 
     def find_address(self, name):
-        """Give the Address of a member, or None."""
+        """Return the Address of a member, or None if it is unknown."""
         member = self.node.members.get(name)
         return http.Address(member.host, member.port) if member else None
 
     def perform(self, actions):
-        """Carry out the actions of the node."""
+        """Carry out actions that the node returned."""
         for action in actions:
-            PERFORMERS[type(action)](self, action)
+            ACTION_HANDLERS[type(action)](self, action)
 
     def _resume(self, stall):
-        """Go on after a time in which this process did not run."""
+        """Update the node after a stall of this process."""
         seconds, now = stall
         self.recorder.record('frozen', seconds=round(seconds, 2))
         self.node.resume(seconds, now)
@@ -178,10 +185,15 @@
         node = self.node
         member = node.members.get(export.target)
         store = node.members.get(export.store)
-        owned = node.pools.schedulers.get(export.pool)
+        scheduler = node.pools.schedulers.get(export.pool)
         block = None
-        if member and store and owned and export.target in owned.targets:
-            report = owned.targets[export.target].report
+        if (
+            member
+            and store
+            and scheduler
+            and export.target in scheduler.targets
+        ):
+            report = scheduler.targets[export.target].report
             meta = {
                 'key': export.key,
                 'pool': export.pool,
@@ -219,7 +231,7 @@
             for member in members:
                 if due.get(member.name, 0.0) <= now:
                     busy = self.node.pools.is_busy(member.name)
-                    wait = period if busy else IDLE_REPORT_S
+                    wait = period if busy else IDLE_REPORT_POLL_S
                     due[member.name] = now + wait
                     calls.append(self._poll_load(member))
             await asyncio.gather(*calls)
@@ -242,11 +254,11 @@
                 busy = self.node.pools.is_busy(member.name)
                 if busy:
                     due[member.name] = now
-                late = due.get(member.name, 0.0) <= now
-                if member.kind == 'target' and late:
-                    due[member.name] = now + IDLE_EVENTS_S
+                is_due = due.get(member.name, 0.0) <= now
+                if member.kind == 'target' and is_due:
+                    due[member.name] = now + IDLE_EVENT_POLL_S
                     await self._poll_cache(member)
-            await asyncio.sleep(EVENTS_S)
+            await asyncio.sleep(EVENT_POLL_S)
 
     async def _poll_cache(self, member):
         key = member.name, member.incarnation
@@ -256,20 +268,20 @@
             return
         self._event_numbers[key] = events[-1].number
         gap = events[0].number != after + 1
-        for owned in self.node.pools.schedulers.values():
-            if member.name in owned.targets:
-                owned.apply_cache_events(member.name, events, gap)
+        for scheduler in self.node.pools.schedulers.values():
+            if member.name in scheduler.targets:
+                scheduler.apply_cache_events(member.name, events, gap)
 
     async def _poll_stores(self):
         while True:
-            await asyncio.sleep(STORES_S)
+            await asyncio.sleep(STORE_POLL_S)
             members = self.node.members.values()
-            found = [m for m in members if m.kind == 'store']
+            store_members = [m for m in members if m.kind == 'store']
             contents = {}
-            for member in found:
-                got = await stores.fetch_listing(self.client, member)
-                if got is not None:
-                    contents[member.name] = got
+            for member in store_members:
+                listing = await stores.fetch_listing(self.client, member)
+                if listing is not None:
+                    contents[member.name] = listing
             self.perform(self.node.set_stores(contents, self.timer.now()))
 
     def _end_task(self, task):
@@ -279,7 +291,7 @@
             self.recorder.record('fault', error=repr(error))
 
 
-PERFORMERS = {
+ACTION_HANDLERS = {
     outputs.Send: Core._send,
     outputs.TimelineEvent: Core._record,
     outputs.Decide: Core._decide,
--- a/landingspool/daemon.py
+++ b/landingspool/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one process a box, all boxes alike."""
+"""The daemon `landingspoold`: one process per box, the same on all boxes."""
 
 import argparse
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class Daemon:
-    """One box with its sockets.
+    """Runs one box with its sockets.
 
     Parameters
     ----------
@@ -31,11 +31,11 @@
     def __init__(self, settings):
         self.settings = settings
         self.client = httpclient.Client()
-        # Milliseconds of the start, in hexadecimal: a later start of the
-        # same box sorts after an earlier one.
+        # The time of the start in milliseconds, in hexadecimal: a later
+        # start of the same box sorts after an earlier one.
         incarnation = f'{time.time_ns() // 1_000_000:x}'
-        outside = box_module.Outside(self.client)
-        self.box = box_module.Box(settings, incarnation, outside)
+        environment = box_module.Outside(self.client)
+        self.box = box_module.Box(settings, incarnation, environment)
         self.links = self._make_links()
         self.caller_server = http.Server(
             self.box.serving.handle, settings.callers.max_body_bytes
@@ -43,7 +43,7 @@
         self.operator_server = http.Server(self.box.operating.handle)
 
     async def run(self):
-        """Serve until told to stop, then stop without cutting off."""
+        """Serve until a planned stop, and finish all open requests first."""
         settings = self.settings
         at = settings.links
         links = await self.links.start(at.host, at.port)
@@ -82,7 +82,7 @@
 def print_ready(**addresses):
     """Print one JSON line with the addresses in use.
 
-    Whoever starts the daemon with port 0 learns from it what is served.
+    A parent process that starts the daemon with port 0 reads the ports here.
     """
     print(json.dumps({k: list(v) for k, v in addresses.items()}), flush=True)
 
@@ -97,7 +97,7 @@
 
 
 def main(arguments=None):
-    """Run `landingspoold`; returns the exit status."""
+    """Run `landingspoold` and return its exit status."""
     parser = argparse.ArgumentParser(prog='landingspoold')
     parser.add_argument('settings', help='path of the TOML settings')
     options = parser.parse_args(arguments)
@@ -107,7 +107,8 @@
             print(settings_module.format_error(error), file=sys.stderr)
         return BAD_SETTINGS
     events.configure_logs(settings.logs.format, settings.logs.level)
-    # What was imported stays for good and need not be looked at again.
+    # Imported objects live as long as the process: the garbage collector
+    # need not visit them again.
     gc.freeze()
     uptime.run(serve(settings))
     return 0
--- a/landingspool/events.py
+++ b/landingspool/events.py
@@ -1,8 +1,8 @@
-"""Numbered events: what this process did, for logs and the time line.
+"""Numbered events of this process, for the log and the timeline.
 
-Each event has a number in the catalogue (kinds.py).  Events go to the log and
-into a bounded ring that operators read over HTTP; the hybrid logical clock
-orders them over all processes.
+Each event has a number in the catalogue (kinds.py).  Events are written to
+the log and to a ring buffer that operators read over HTTP.  A hybrid logical
+clock orders them across all processes.
 """
 
 import collections
@@ -21,7 +21,7 @@
 
 
 class Event(typing.NamedTuple):
-    """One thing that happened, in the order of the hybrid clock."""
+    """One recorded event; `stamp` is its hybrid logical time."""
 
     stamp: tuple
     box: str
@@ -37,21 +37,23 @@
 
 
 class Recorder:
-    """Writes events into the ring and to the log.
+    """Writes events to the ring buffer and to the log.
 
     Parameters
     ----------
     box : str
-        Name of this process in the time line.
+        Name of this process in the timeline.
     wall : callable, optional
-        Gives the seconds of the wall clock.
-    form : callable, optional
-        Gives the line of text for an event.
+        Returns wall-clock time in seconds.
+    ring : int, optional
+        Capacity of the ring buffer, in events.
+    formatter : callable, optional
+        Returns the line of text for an event.
     """
 
-    def __init__(self, box, wall=time.time, ring=RING_EVENTS, form=None):
+    def __init__(self, box, wall=time.time, ring=RING_EVENTS, formatter=None):
         self.box = box
-        self._form = form or format_event
+        self._format = formatter or format_event
         self._wall = wall
         self._stamp = clock.Stamp(0, 0)
         self._ring = collections.deque(maxlen=ring)
@@ -59,44 +61,44 @@
         self.counts = collections.Counter()
 
     def record(self, name, **fields):
-        """Record the event `name` of the catalogue; returns it."""
+        """Record the event `name` of the catalogue and return it."""
         kind = kinds.CATALOGUE[name]
         self._stamp = clock.advance(self._stamp, self._wall())
         event = Event(self._stamp, self.box, kind.number, name, fields)
         self._ring.append(event)
         self.counts[name] += 1
         if kind.level != 'DEBUG' or fields.get('loud'):
-            self._log.log(kind.level, self._form(event))
+            self._log.log(kind.level, self._format(event))
         else:
-            self._log.opt(lazy=True).debug('{}', lambda: self._form(event))
+            self._log.opt(lazy=True).debug('{}', lambda: self._format(event))
         return event
 
     def observe(self, stamp):
-        """Take in the stamp of a message from another process."""
-        heard = clock.Stamp(*stamp)
-        self._stamp = clock.merge(self._stamp, heard, self._wall())
+        """Advance the clock past the stamp of a message from a peer."""
+        received = clock.Stamp(*stamp)
+        self._stamp = clock.merge(self._stamp, received, self._wall())
 
     @property
     def stamp(self):
-        """The stamp to put on a message that leaves now."""
+        """The stamp to put on an outgoing message."""
         return self._stamp
 
     def select(self, since=0.0, **wanted):
-        """List the recorded events that match all the fields wanted.
+        """Return the recorded events that match all the given fields.
 
         Parameters
         ----------
         since : float
-            Wall-clock seconds; earlier events are left out.
+            Wall-clock time in seconds; earlier events are omitted.
         **wanted
-            Field names and their values, as text.
+            Field names and their values, compared as text.
         """
         rows = (e for e in self._ring if e.stamp[0] >= since * 1000)
         return [e for e in rows if match_fields(e, wanted)]
 
 
 def match_fields(event, wanted):
-    """Tell whether an event holds all the wanted field values.
+    """Return whether an event has all the wanted field values.
 
     >>> e = Event((0, 0), 'a', 200, 'accepted', {'request': 'r1', 'n': 2})
     >>> match_fields(e, {'request': 'r1', 'n': '2'})
@@ -111,7 +113,7 @@
 
 
 def format_event(event):
-    """Give one line of text for an event.
+    """Return one line of text for an event.
 
     >>> format_event(Event((0, 0), 'a', 200, 'accepted', {'request': 'r1'}))
     'LS200 accepted request=r1'
@@ -121,7 +123,7 @@
 
 
 def format_json(event):
-    """Give one JSON line for an event.
+    """Return one JSON line for an event.
 
     >>> format_json(Event((5, 0), 'a', 200, 'accepted', {'request': 'r1'}))
     '{"t":0.005,"box":"a","n":200,"event":"accepted","request":"r1"}'
--- a/landingspool/http.py
+++ b/landingspool/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 over asyncio streams, with h11: the types, and the serving side.
+"""HTTP/1.1 server over asyncio streams with h11, and common HTTP types.
 
-It bounds what a peer can make us hold (headers, body, time) and knows nothing
-of what the requests mean.
+It limits the header bytes, the body bytes and the time of each request, and
+does not interpret requests.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 
 
 class Address(typing.NamedTuple):
-    """A TCP endpoint by IP number."""
+    """A TCP endpoint by IP address."""
 
     host: str
     port: int
 
 
 class Request(typing.NamedTuple):
-    """One whole HTTP request."""
+    """One complete HTTP request."""
 
     method: str
     path: str
@@ -54,19 +54,19 @@
 
 
 class Response(typing.NamedTuple):
-    """One whole HTTP response."""
+    """One complete HTTP response."""
 
     status: int
     headers: dict
     body: bytes
 
     def json(self):
-        """Decode the body as JSON; raises ValueError where it is not."""
+        """Decode the body; raises ValueError if it is not JSON."""
         return json.loads(self.body) if self.body else {}
 
 
 class BadRequest(Exception):
-    """The peer sent what can't be served; holds the status to answer."""
+    """Raised for a request that can't be served; has the status to send."""
 
     def __init__(self, status, text):
         super().__init__(text)
@@ -75,7 +75,10 @@
 
 
 class Unreachable(Exception):
-    """A peer could not be spoken to; `sent` tells if a byte went out."""
+    """Raised if an exchange with a peer failed.
+
+    `sent` tells whether a byte of the request may have been sent.
+    """
 
     def __init__(self, text, sent):
         super().__init__(text)
@@ -83,7 +86,7 @@
 
 
 class Exchange:
-    """The server's side of one request: what is answered goes through it.
+    """Sends the answer to one request, on the server's side.
 
     Parameters
     ----------
@@ -101,43 +104,45 @@
         self.sent_bytes = 0
 
     async def send_json(self, status, value, headers=()):
-        """Send one whole JSON answer."""
+        """Send a complete answer in JSON."""
         body = json.dumps(value).encode()
         await self.send_body(status, body, 'application/json', headers)
 
     async def send_body(self, status, body, kind, headers=()):
-        """Send one whole answer of the content type `kind`."""
-        fixed = [
+        """Send a complete answer of the content type `kind`."""
+        framing = [
             ('content-type', kind),
             ('content-length', str(len(body))),
         ]
         self._write(
-            h11.Response(status_code=status, headers=[*fixed, *headers])
+            h11.Response(status_code=status, headers=[*framing, *headers])
         )
         self._write(h11.Data(data=body))
         await self.finish()
 
     async def start_stream(self, headers=()):
-        """Start an answer of server-sent events."""
-        fixed = [
+        """Start an answer that is a stream of server-sent events."""
+        framing = [
             ('content-type', 'text/event-stream'),
             ('cache-control', 'no-store'),
         ]
-        self._write(h11.Response(status_code=200, headers=[*fixed, *headers]))
+        self._write(
+            h11.Response(status_code=200, headers=[*framing, *headers])
+        )
 
     async def send_event(self, value):
-        """Send one server-sent event; `value` is JSON or a bare text."""
+        """Send one server-sent event; `value` is a text or is sent as JSON."""
         text = value if isinstance(value, str) else json.dumps(value)
         self._write(h11.Data(data=b'data: ' + text.encode() + b'\n\n'))
         await self._writer.drain()
 
     async def finish(self):
-        """End the answer."""
+        """Finish the answer."""
         self._write(h11.EndOfMessage())
         await self._writer.drain()
 
     def abort(self):
-        """Drop the connection in the middle of an answer."""
+        """Abort the connection without finishing the answer."""
         self._writer.transport.abort()
 
     async def wait_gone(self):
@@ -157,14 +162,14 @@
 
 
 class Server:
-    """Serves HTTP on one address until it is closed.
+    """HTTP server on one address.
 
     Parameters
     ----------
     handle : callable
         ``async handle(request, exchange)``; must send one answer.
     max_body : int, optional
-        Largest accepted body, in bytes.
+        Size limit of a request's body, in bytes.
     """
 
     def __init__(self, handle, max_body=MAX_BODY_BYTES):
@@ -175,7 +180,7 @@
         self._idle = set()
 
     async def start(self, host, port):
-        """Listen; returns the Address in use (port 0 takes a free one)."""
+        """Listen and return the Address in use; port 0 takes a free port."""
         self._server = await asyncio.start_server(
             self._serve, host, port, limit=READ_BYTES
         )
@@ -183,7 +188,10 @@
         return Address(bound[0], bound[1])
 
     async def close(self, grace_s=0.0):
-        """Stop listening, close idle connections, wait for busy ones."""
+        """Stop listening and close all connections.
+
+        Connections with an open request have `grace_s` seconds to finish.
+        """
         if self._server is None:
             return
         self._server.close()
@@ -233,8 +241,8 @@
         body = bytearray()
         deadline = asyncio.get_running_loop().time() + BODY_TIMEOUT_S
         while True:
-            left = deadline - asyncio.get_running_loop().time()
-            event = await read_event(conn, reader, left)
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            event = await read_event(conn, reader, remaining_s)
             if isinstance(event, h11.EndOfMessage):
                 break
             if not isinstance(event, h11.Data):
@@ -250,7 +258,7 @@
 
 
 async def answer_bad_request(exchange, error):
-    """Answer a request that could not be read; never run by definition."""
+    """Answer a request that could not be read, and so was not run."""
     reply = {
         'error': {
             'type': 'bad_request',
@@ -268,13 +276,28 @@
 async def read_event(conn, reader, timeout, idle=None, task=None):
     """Read the next h11 event.
 
-    The end of the connection where it was idle for the whole time.
+    Parameters
+    ----------
+    conn : h11.Connection
+    reader : asyncio.StreamReader
+    timeout : float
+        Time limit in seconds.
+    idle : set, optional
+        The tasks whose connection waits for a request; `task` is removed
+        from it once data has arrived.
+    task : asyncio.Task, optional
+        The task that serves the connection.
+
+    Returns
+    -------
+    h11 event
+        `h11.ConnectionClosed` if an idle connection timed out.
 
     Raises
     ------
     BadRequest
-        With 408 when the time is over, with 400 or 431 for what is not
-        HTTP.
+        With status 408 at a time-out within a request, with 400 or 431 if
+        the data is not valid HTTP.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout
@@ -292,7 +315,8 @@
                 data = await reader.read(READ_BYTES)
         except TimeoutError:
             if idle is not None and task in idle:
-                # An answer to no request would be taken for the next one's.
+                # No answer is sent on an idle connection: the client would
+                # take it for the answer to its next request.
                 return h11.ConnectionClosed()
             raise BadRequest(408, 'the request took too long') from None
         if data and idle is not None and task in idle:
--- a/landingspool/httpclient.py
+++ b/landingspool/httpclient.py
@@ -1,7 +1,7 @@
-"""The asking side of HTTP/1.1: calls of targets, stores, platform and boxes.
+"""HTTP/1.1 client for calls to targets, stores, the platform and boxes.
 
-It keeps idle connections, and tells of a call that failed whether a byte of
-it went out.
+It pools idle connections, and reports of a failed call whether any byte of
+the request may have been sent.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Client:
-    """Sends HTTP requests and keeps idle connections for the next one."""
+    """Sends HTTP requests and pools idle connections."""
 
     def __init__(self):
         self._idle = collections.defaultdict(list)
@@ -26,7 +26,17 @@
     async def fetch(
         self, address, method, path, value=None, headers=(), timeout=5.0
     ):
-        """Send one request and read the whole answer.
+        """Send one request and read the complete answer.
+
+        Parameters
+        ----------
+        address : http.Address
+        method, path : str
+        value : object, optional
+            The body: bytes are sent as they are, the rest as JSON.
+        headers : iterable of tuple, optional
+        timeout : float, optional
+            Seconds until the answer has to be complete.
 
         Returns
         -------
@@ -35,29 +45,29 @@
         Raises
         ------
         http.Unreachable
-            When no whole answer came within `timeout` seconds.
+            If no complete answer arrived within `timeout` seconds.
         """
         call = self.open(address)
-        work = asyncio.ensure_future(
-            call.fetch_whole(method, path, value, headers)
+        task = asyncio.ensure_future(
+            call.fetch_response(method, path, value, headers)
         )
         try:
-            await patience.wait_running(work, timeout)
-            if not work.done():
+            await patience.wait_with_timeout(task, timeout)
+            if not task.done():
                 raise http.Unreachable(f'{path}: no answer in time', call.sent)
-            return work.result()
+            return task.result()
         except BaseException:
             call.close()
             raise
         finally:
-            work.cancel()
+            task.cancel()
 
     def open(self, address):
-        """Give a Call to `address` whose answer is read as it comes."""
+        """Return a Call to `address` whose answer is read as a stream."""
         return Call(self, address)
 
-    def take(self, address):
-        """Take an idle connection to `address`, or None."""
+    def acquire(self, address):
+        """Return an idle connection to `address`, or None."""
         while self._idle[address]:
             reader, writer, conn = self._idle[address].pop()
             if not reader.at_eof() and not writer.is_closing():
@@ -65,42 +75,45 @@
             writer.close()
         return None
 
-    def keep(self, address, kept):
-        """Keep a finished connection for the next request."""
+    def release(self, address, connection):
+        """Return a connection to the pool, or close it if the pool is full."""
         if len(self._idle[address]) < IDLE_CONNECTIONS:
-            self._idle[address].append(kept)
+            self._idle[address].append(connection)
         else:
-            kept[1].close()
+            connection[1].close()
 
     def close(self):
         """Close all idle connections."""
-        for kept in self._idle.values():
-            for _, writer, _ in kept:
+        for connection in self._idle.values():
+            for _, writer, _ in connection:
                 writer.close()
         self._idle.clear()
 
 
-def fold_headers(rows):
-    """Give the fields of a head by name, those of several lines as a list.
+def combine_headers(rows):
+    """Return the header fields by name, with repeated ones joined by commas.
 
-    Any byte over 0x7f may stand in a value (RFC 9110, 5.5): read as UTF-8 it
-    ended whatever was following the peer.
+    A value may contain any byte over 0x7f (RFC 9110, 5.5).  Decoding it as
+    UTF-8 would raise an error, which would end the task that reads from the
+    peer.
 
-    >>> fold_headers([(b'a', b'1'), (b'b', b'x'), (b'a', b'2')])
+    >>> combine_headers([(b'a', b'1'), (b'b', b'x'), (b'a', b'2')])
     {'a': '1, 2', 'b': 'x'}
     """
-    folded = {}
+    combined = {}
     for name, value in rows:
         name, value = name.decode('latin-1'), value.decode('latin-1')
-        folded[name] = f'{folded[name]}, {value}' if name in folded else value
-    return folded
+        combined[name] = (
+            f'{combined[name]}, {value}' if name in combined else value
+        )
+    return combined
 
 
 class Call:
-    """One request to a peer, whose answer is read as it comes.
+    """One request to a peer, whose answer is read as a stream.
 
-    `sent` is true from the moment before the first byte is handed to the
-    socket: what happens later can't prove that the peer saw nothing.
+    `sent` is set before the first byte is written to the socket: a later
+    failure does not prove that the peer received nothing.
     """
 
     def __init__(self, client, address):
@@ -112,12 +125,12 @@
         self.headers = {}
 
     async def connect(self, fresh=False):
-        """Take an idle connection or open one; sends nothing.
+        """Take an idle connection or open one, without sending anything.
 
-        With `fresh` a new one is opened in any case.
+        With `fresh` a new one is always opened.
         """
         if not fresh:
-            self._stream = self._client.take(self._address)
+            self._stream = self._client.acquire(self._address)
         if self._stream is not None:
             return
         try:
@@ -131,18 +144,18 @@
     async def send(self, method, path, value=None, headers=(), host=''):
         """Send the request and read the head of the answer.
 
-        `host` goes into the head in place of the address.
+        `host` is the value of the Host header; the address by default.
         """
         if self._stream is None:
             await self.connect()
         body = encode_body(value)
-        fixed = [
+        framing = [
             ('host', host or f'{self._address.host}:{self._address.port}'),
             ('content-length', str(len(body))),
         ]
         _, writer, conn = self._stream
         head = h11.Request(
-            method=method, target=path, headers=[*fixed, *headers]
+            method=method, target=path, headers=[*framing, *headers]
         )
         self.sent = True
         try:
@@ -155,10 +168,10 @@
         if not isinstance(event, h11.Response):
             raise http.Unreachable('the connection was closed', True)
         self.status = event.status_code
-        self.headers = fold_headers(event.headers)
+        self.headers = combine_headers(event.headers)
 
-    async def fetch_whole(self, method, path, value, headers):
-        """Send the request and read the whole answer; gives a Response."""
+    async def fetch_response(self, method, path, value, headers):
+        """Send the request and return the complete Response."""
         await self.send(method, path, value, headers)
         body = bytearray()
         async for data in self.read():
@@ -166,14 +179,14 @@
         return http.Response(self.status, self.headers, bytes(body))
 
     async def read(self):
-        """Yield the body in parts; raises Unreachable if it is cut off."""
+        """Yield the body in parts; raises Unreachable if it is incomplete."""
         while True:
             try:
                 event = await self._next()
             except (OSError, h11.ProtocolError) as error:
                 raise http.Unreachable(str(error), True) from error
             if isinstance(event, h11.EndOfMessage):
-                self._give_back()
+                self._release()
                 return
             if not isinstance(event, h11.Data):
                 raise http.Unreachable('the answer was cut off', True)
@@ -181,20 +194,20 @@
 
     async def read_events(self):
         """Yield the data of server-sent events as text."""
-        rest = b''
+        buffer = b''
         async for data in self.read():
-            rest += data
-            while b'\n\n' in rest:
-                event, rest = rest.split(b'\n\n', 1)
+            buffer += data
+            while b'\n\n' in buffer:
+                event, buffer = buffer.split(b'\n\n', 1)
                 yield event.removeprefix(b'data: ').decode()
 
     def close(self):
-        """Drop the connection, whatever state it is in."""
+        """Close the connection, whatever its state."""
         if self._stream is not None:
             self._stream[1].close()
             self._stream = None
 
-    def _give_back(self):
+    def _release(self):
         reader, writer, conn = self._stream
         self._stream = None
         done = conn.our_state is h11.DONE and conn.their_state is h11.DONE
@@ -202,7 +215,7 @@
             writer.close()
             return
         conn.start_next_cycle()
-        self._client.keep(self._address, (reader, writer, conn))
+        self._client.release(self._address, (reader, writer, conn))
 
     async def _next(self):
         reader, _, conn = self._stream
@@ -214,7 +227,7 @@
 
 
 def encode_body(value):
-    """Encode a request body: bytes as they are, the rest as JSON.
+    """Encode a request body: bytes are not changed, the rest is JSON.
 
     >>> encode_body({'a': 1})
     b'{"a": 1}'
--- a/landingspool/kinds.py
+++ b/landingspool/kinds.py
@@ -1,10 +1,10 @@
-"""The catalogue of numbered events, which docs/events.md prints."""
+"""The catalogue of numbered events, which docs/events.md lists."""
 
 import typing
 
 
 class Kind(typing.NamedTuple):
-    """One entry of the catalogue."""
+    """One kind of event, with its number and log level."""
 
     number: int
     name: str
@@ -15,28 +15,30 @@
 CATALOGUE = {
     kind.name: kind
     for kind in (
-        Kind(100, 'started', 'INFO', 'The daemon serves.'),
+        Kind(100, 'started', 'INFO', 'The daemon accepts requests.'),
         Kind(101, 'draining', 'INFO', 'A planned stop has begun.'),
-        Kind(102, 'stopped', 'INFO', 'The daemon has ended.'),
+        Kind(102, 'stopped', 'INFO', 'The daemon has stopped.'),
         Kind(
             103,
             'frozen',
             'WARNING',
-            'This process did not run; what it had decided before is void.',
+            'This process stalled; decisions made before the stall are void.',
         ),
-        Kind(104, 'reloaded', 'INFO', 'The settings were read anew.'),
+        Kind(104, 'reloaded', 'INFO', 'The settings were reloaded.'),
         Kind(
             105,
             'bad_settings',
             'ERROR',
-            'The settings can not be read; those of the start stay.',
+            'The settings are unreadable; those of the start stay in force.',
+        ),
+        Kind(
+            106, 'figures', 'INFO', 'Current state and counters of this box.'
         ),
-        Kind(106, 'figures', 'INFO', 'What this box has and did so far.'),
         Kind(
             107,
             'proof_renewed',
             'INFO',
-            'The table was read anew after this process had not run.',
+            'The table was read again after a stall of this process.',
         ),
         Kind(
             200, 'accepted', 'DEBUG', 'A request was accepted from a caller.'
@@ -48,21 +50,26 @@
             'DEBUG',
             'The claim of a request that must not be repeated was settled.',
         ),
-        Kind(203, 'granted', 'DEBUG', 'A scheduler gave a request its place.'),
+        Kind(203, 'granted', 'DEBUG', 'A scheduler granted a request a slot.'),
         Kind(
             204,
             'dispatched',
             'DEBUG',
-            'The first byte of a request goes to a target.',
+            'The first byte of a request is sent to a target.',
+        ),
+        Kind(
+            205,
+            'first_token',
+            'DEBUG',
+            'The first token of an answer was received.',
         ),
-        Kind(205, 'first_token', 'DEBUG', 'The first token came back.'),
         Kind(
             206,
             'finished',
             'DEBUG',
-            'The whole answer was handed to the caller.',
+            'The complete answer was sent to the caller.',
         ),
-        Kind(207, 'retried', 'INFO', 'A request is tried again.'),
+        Kind(207, 'retried', 'INFO', 'A request is retried.'),
         Kind(
             208,
             'resumed',
@@ -73,13 +80,13 @@
             209,
             'stale',
             'INFO',
-            'A grant was too old to be used and is asked for again.',
+            'A grant was too old to be used; a new one is requested.',
         ),
         Kind(
             210,
             'caller_gone',
             'INFO',
-            'The caller left before its answer was whole.',
+            'The caller disconnected before its answer was complete.',
         ),
         Kind(
             211,
@@ -92,31 +99,31 @@
             213,
             'not_served',
             'INFO',
-            'A relayed request got an answer that is no success.',
+            'A relayed request got an answer that is not a success.',
         ),
         Kind(
             214,
             'turned_away',
             'INFO',
-            'A relayed request would wait too long and may come back.',
+            'A relayed request would wait too long; the caller may retry.',
         ),
         Kind(
             215,
             'lost',
             'INFO',
-            'A request was sent to a target and its answer broke off.',
+            'A request was sent to a target and its answer was cut off.',
         ),
         Kind(
             216,
             'barred',
             'WARNING',
-            'Targets ended under a request; no further one gets it.',
+            'Targets crashed under a request; it is sent to no further one.',
         ),
         Kind(
             217,
             'bar_lifted',
             'INFO',
-            'A request may be sent again: it did not end its targets.',
+            'A quarantine was lifted: the request did not crash its targets.',
         ),
         Kind(
             300, 'queued', 'DEBUG', 'A request waits in the queue of its pool.'
@@ -126,13 +133,13 @@
             302,
             'spilled',
             'DEBUG',
-            'A request was sent on to another failure domain.',
+            'A request was forwarded to another failure domain.',
         ),
         Kind(
             303,
             'lapsed',
             'WARNING',
-            'A grant was not heard of again and was taken back.',
+            'The lease of a grant expired; the grant was revoked.',
         ),
         Kind(304, 'moved', 'INFO', 'A pool has a new scheduler.'),
         Kind(
@@ -151,15 +158,15 @@
             401,
             'conflicted',
             'INFO',
-            'A publish lost against another operator.',
+            'A publish was rejected: another operator published first.',
         ),
-        Kind(402, 'log_down', 'WARNING', 'The log can not be reached.'),
-        Kind(403, 'log_up', 'INFO', 'The log can be reached again.'),
+        Kind(402, 'log_down', 'WARNING', 'The log is unreachable.'),
+        Kind(403, 'log_up', 'INFO', 'The log is reachable again.'),
         Kind(
             404,
             'log_gap',
             'ERROR',
-            'The log no longer holds the records after our offset.',
+            'The log no longer holds the records after the offset in use.',
         ),
         Kind(
             405,
@@ -177,11 +184,19 @@
             407,
             'malformed',
             'ERROR',
-            'A published record can not be read and is left out.',
+            'A published record is unreadable and is skipped.',
         ),
-        Kind(408, 'version_named', 'INFO', 'New weights were named.'),
         Kind(
-            500, 'leaving', 'INFO', 'A target is leaving and gets no new work.'
+            408,
+            'version_named',
+            'INFO',
+            'A new version of the weights was announced.',
+        ),
+        Kind(
+            500,
+            'leaving',
+            'INFO',
+            'A target is leaving and gets no new requests.',
         ),
         Kind(501, 'target_down', 'WARNING', 'A target does not answer.'),
         Kind(502, 'target_up', 'INFO', 'A target answers.'),
@@ -192,29 +207,32 @@
             506,
             'holding',
             'INFO',
-            'This box may give orders, under the fence told.',
+            'This box may issue orders, with the fence given.',
         ),
         Kind(
             507,
             'lease_lost',
             'WARNING',
-            'This box may no longer give orders.',
+            'This box may no longer issue orders.',
         ),
         Kind(
-            508, 'unreached', 'WARNING', 'No connection to a target comes up.'
+            508,
+            'unreached',
+            'WARNING',
+            'No connection to a target can be opened.',
         ),
-        Kind(509, 'reached', 'INFO', 'A target can be connected to again.'),
+        Kind(509, 'reached', 'INFO', 'A target accepts connections again.'),
         Kind(
             510,
             'target_reborn',
             'INFO',
-            'A target has started again under its id; older beliefs ended.',
+            'A target restarted under its id; its earlier state is void.',
         ),
         Kind(
             511,
             'evacuated',
             'WARNING',
-            'Nothing more goes to the targets of a failure domain.',
+            'Targets of a failure domain get no more requests.',
         ),
         Kind(
             512,
@@ -226,43 +244,43 @@
             513,
             'limit_named',
             'WARNING',
-            'A target names how many requests it takes from all boxes.',
+            'A target advertises a limit on the requests of all boxes.',
         ),
         Kind(
             514,
             'limit_over',
             'INFO',
-            'A target does not name a limit any more.',
+            'A target no longer advertises a limit.',
         ),
         Kind(
             515,
             'bad_word',
             'ERROR',
-            'What a target says of itself can not be read; nothing changes.',
+            'A notice of a target is unreadable and is ignored.',
         ),
         Kind(
             516,
             'leaving_told',
             'WARNING',
-            'A target says in an answer that it leaves.',
+            'A target announced in an answer that it is leaving.',
         ),
         Kind(
             517,
             'leaving_over',
             'INFO',
-            'A target that had said that it leaves is gone.',
+            'A target that had announced that it is leaving is gone.',
         ),
         Kind(
             518,
             'rest_asked',
             'WARNING',
-            'A target wants no request of this box for a time.',
+            'A target asked this box to back off for a time.',
         ),
         Kind(
             519,
             'rest_over',
             'INFO',
-            'The rest that a target asked for is over.',
+            'The back-off that a target asked for has expired.',
         ),
         Kind(
             600, 'kept', 'DEBUG', 'A block of context was sealed in a store.'
@@ -277,7 +295,7 @@
             602,
             'mismatch',
             'WARNING',
-            'A block failed its check and is computed again.',
+            'A block failed its check and is recomputed.',
         ),
         Kind(603, 'freed', 'DEBUG', 'A block of context was freed.'),
         Kind(
@@ -287,19 +305,19 @@
             605,
             'cache_epoch',
             'INFO',
-            'A target or store has begun to keep context anew.',
+            'A target or store has started a new cache epoch.',
         ),
         Kind(
             606,
             'swept',
             'INFO',
-            'Parts of replaced weights were freed in a store.',
+            'Stale parts of replaced weights were freed in a store.',
         ),
         Kind(
             607,
             'swept_broken',
             'INFO',
-            'Parts that broke off while written were freed in a store.',
+            'Incompletely written parts were freed in a store.',
         ),
         Kind(700, 'joined', 'INFO', 'A box was seen alive.'),
         Kind(701, 'suspected', 'WARNING', 'A box did not answer its probes.'),
@@ -314,7 +332,7 @@
             704,
             'dropped',
             'WARNING',
-            'A queue of a link was full and a message was dropped.',
+            'A message was dropped because the queue of a link was full.',
         ),
         Kind(
             705,
@@ -326,7 +344,7 @@
             706,
             'state_taken',
             'INFO',
-            'The state of another box was taken, the store being away.',
+            'State was taken from another box; the store is unavailable.',
         ),
         Kind(
             707,
@@ -338,20 +356,20 @@
             708,
             'reader_left',
             'INFO',
-            'A box that this one reads from is left for a time.',
+            'The box that this one reads from is avoided for a time.',
         ),
         Kind(
             800,
             'fault',
             'ERROR',
-            'A task ended by an error that nothing handled.',
+            'A task ended with an unhandled error.',
         ),
-        Kind(801, 'no_metrics', 'WARNING', 'The metrics can not be served.'),
+        Kind(801, 'no_metrics', 'WARNING', 'The metrics cannot be served.'),
         Kind(
             802,
             'left_out',
             'WARNING',
-            'Lines were left out of the log in the last second.',
+            'Log lines were dropped in the last second.',
         ),
         Kind(
             803,
@@ -364,7 +382,7 @@
 
 
 def describe_catalogue():
-    """Give the catalogue as the table that docs/events.md holds."""
+    """Return the catalogue as the table in docs/events.md."""
     lines = [
         '| number | event | level | meaning |',
         '| --- | --- | --- | --- |',
--- a/landingspool/lines.py
+++ b/landingspool/lines.py
@@ -1,9 +1,9 @@
-"""Log lines on standard output that never hold the process up.
+"""Log output to standard output that never blocks the process.
 
-A reader that is slow costs lines, not requests: what does not fit into the
-pipe at once is left out and counted.  Lines on requests that went well are
-bounded in each second; all others are written.  One line a second tells how
-many were left out, so that a gap is never taken for silence.
+A slow reader of the log must not delay requests: a line that does not fit
+into the pipe at once is dropped and counted.  Lines of successful requests
+are limited per second; all others are written.  At most once a second a line
+reports how many were dropped, so that gaps in the log are visible.
 """
 
 import json
@@ -16,28 +16,28 @@
 from landingspool import kinds
 from landingspool import uptime
 
-# Lines a second on requests that went well; a box of today's deployments
-# serves some 35 requests a second with two such lines each.
-USUAL_LINES_S = 150
-LEVEL_OF_USUAL = 'DEBUG'
+# Lines per second of successful requests.  A box that serves 35 requests per
+# second writes two such lines for each.
+MAX_DEBUG_LINES_PER_S = 150
+DEBUG_LEVEL = 'DEBUG'
 LEFT_OUT = kinds.CATALOGUE['left_out']
 
 
 class Lines:
-    """A sink for loguru.
+    """Non-blocking sink for loguru.
 
     Parameters
     ----------
     descriptor : int
-        Of a pipe or file; it is made non-blocking.
+        File descriptor of a pipe or file; it is made non-blocking.
     box : str
-        Named in the lines that tell of lines left out.
+        Name of the box in the lines that report dropped lines.
     clock : callable, optional
-        Gives monotonic seconds.
-    usual : int, optional
-        Lines of the level DEBUG in each second.
+        Returns monotonic time in seconds.
+    max_debug_per_s : int, optional
+        Limit of lines of the level DEBUG per second.
     wall : callable, optional
-        Gives the seconds of the wall clock.
+        Returns wall-clock time in seconds.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         descriptor,
         box,
         clock=uptime.read,
-        usual=USUAL_LINES_S,
+        max_debug_per_s=MAX_DEBUG_LINES_PER_S,
         wall=time.time,
     ):
         os.set_blocking(descriptor, False)
@@ -53,25 +53,25 @@
         self._box = box
         self._clock = clock
         self._wall = wall
-        self._usual = usual
+        self._max_debug_per_s = max_debug_per_s
         self._second = clock()
         self._written = 0
         self._skipped = 0
-        self._rest = b''
+        self._remainder = b''
         self.lost = 0
 
     def write(self, message):
-        """Write one line, or count that it was left out."""
-        self._begin_second()
-        if message.record['level'].name == LEVEL_OF_USUAL:
+        """Write one line, or drop and count it."""
+        self._start_second()
+        if message.record['level'].name == DEBUG_LEVEL:
             self._written += 1
-            if self._written > self._usual:
+            if self._written > self._max_debug_per_s:
                 self._skipped += 1
                 return
-        self._put(str(message).encode())
+        self._write_bytes(str(message).encode())
 
-    def _begin_second(self):
-        """Count anew in each second, and tell what the last one left out."""
+    def _start_second(self):
+        """Reset the counts each second, and report the dropped lines."""
         now = self._clock()
         if now - self._second < 1.0:
             return
@@ -86,26 +86,27 @@
                 'full': self.lost,
             }
             self._skipped = self.lost = 0
-            self._put(json.dumps(row).encode() + b'\n')
+            self._write_bytes(json.dumps(row).encode() + b'\n')
 
-    def _put(self, data):
-        # What is left of a line that was cut goes first, or lines mingle.
-        data = self._rest + data
+    def _write_bytes(self, data):
+        # The remainder of a partly written line goes first, or two lines
+        # would be mixed.
+        data = self._remainder + data
         try:
-            done = os.write(self._descriptor, data)
+            count = os.write(self._descriptor, data)
         except BlockingIOError:
             self.lost += 1
             return
         except OSError:
-            # The reader has gone; requests are served all the same.
+            # The reader has closed the pipe; requests are still served.
             self.lost += 1
-            self._rest = b''
+            self._remainder = b''
             return
-        self._rest = data[done:]
+        self._remainder = data[count:]
 
 
-def configure(box, stream=None, level=LEVEL_OF_USUAL):
-    """Send the log of `box` to standard output, one line an event."""
+def configure(box, stream=None, level=DEBUG_LEVEL):
+    """Send the log of `box` to standard output, one line per event."""
     descriptor = (stream or sys.stdout).fileno()
     logger.remove()
     logger.configure(extra={'box': '-'})
--- a/landingspool/metrics.py
+++ b/landingspool/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that one daemon exposes at /metrics."""
+"""Prometheus metrics that one daemon exposes at /metrics."""
 
 import prometheus_client as prometheus
 
@@ -18,7 +18,7 @@
 
 
 class Metrics:
-    """All metrics of one process, in a registry of their own."""
+    """All metrics of one process, in a separate registry."""
 
     def __init__(self):
         self.registry = prometheus.CollectorRegistry()
@@ -32,7 +32,7 @@
             'output_tokens', 'Output tokens', ('workspace',)
         )
         self.retries = self._count(
-            'retries', 'Requests tried again', ('reason',)
+            'retries', 'Retries of requests', ('reason',)
         )
         self.link_bytes = self._count(
             'link_bytes', 'Bytes between boxes', ('message', 'direction')
@@ -41,7 +41,9 @@
             'link_dropped', 'Messages dropped by a full queue', ('message',)
         )
         self.store_bytes = self._count(
-            'store_bytes', 'Bytes of kept context', ('workspace', 'direction')
+            'store_bytes',
+            'Bytes of stored context',
+            ('workspace', 'direction'),
         )
         self.first_token = prometheus.Histogram(
             'landingspool_first_token_seconds',
@@ -62,7 +64,7 @@
         )
 
     def render(self):
-        """Give the text of /metrics."""
+        """Return the text of /metrics."""
         return prometheus.generate_latest(self.registry)
 
     def _count(self, name, text, labels):
--- a/landingspool/patience.py
+++ b/landingspool/patience.py
@@ -1,27 +1,27 @@
-"""Waiting for an answer for as long as this process runs.
+"""Time-outs that allow for stalls of this process.
 
-A process that stood still finds its waits over when it goes on, and its
-loop calls what is due before it goes on with what has arrived meanwhile: a
-peer that has answered would be taken for silent, and a sound one be left.
-Waits whose end is found late go on for a moment instead, so that what has
-arrived is read first.
+After a stall all time-outs that expired during it are due at once, and the
+event loop runs them before it reads the data that arrived during the stall:
+a peer that has answered would count as unresponsive, and a healthy one would
+be given up.  A time-out that fires late is therefore extended for a short
+time, so that data that has arrived is read first.
 """
 
 import asyncio
 
-# Seconds by which the end of a wait may come late before it is taken for a
-# process that stood still, and for which it then waits on.
-STALL_S = 0.05
-AFTER_STALL_S = 0.1
+# A time-out that fires at least MIN_STALL_S seconds late counts as a stall of
+# the process, and is extended by EXTENSION_S seconds.
+MIN_STALL_S = 0.05
+EXTENSION_S = 0.1
 
 
 class Limit:
-    """As asyncio.timeout, but by the time for which this process runs.
+    """Context manager like asyncio.timeout that allows for stalls.
 
     Parameters
     ----------
     seconds : float or None
-        None: no limit.
+        Time limit; None means no limit.
     """
 
     def __init__(self, seconds):
@@ -33,7 +33,7 @@
     async def __aenter__(self):
         await self._timeout.__aenter__()
         if self._seconds is not None:
-            self._wait(self._seconds)
+            self._schedule(self._seconds)
         return self
 
     async def __aexit__(self, *error):
@@ -41,29 +41,35 @@
             self._handle.cancel()
         return await self._timeout.__aexit__(*error)
 
-    def _wait(self, seconds):
+    def _schedule(self, seconds):
         loop = asyncio.get_running_loop()
         self._due = loop.time() + max(seconds, 0.0)
-        self._handle = loop.call_at(self._due, self._end)
+        self._handle = loop.call_at(self._due, self._expire)
 
-    def _end(self):
+    def _expire(self):
         now = asyncio.get_running_loop().time()
-        if now - self._due < STALL_S:
+        if now - self._due < MIN_STALL_S:
             self._timeout.reschedule(now)
         else:
-            self._wait(AFTER_STALL_S)
+            self._schedule(EXTENSION_S)
 
 
-async def wait_running(work, seconds):
-    """Wait for a task for so many seconds in which this process ran.
+async def wait_with_timeout(task, seconds):
+    """Wait for a task with a time-out that allows for stalls.
 
-    The task may go on afterwards; where its result is not wanted then, the
-    caller cancels it.
+    The task is not cancelled at the time-out; the caller cancels it if it
+    does not need the result.
+
+    Parameters
+    ----------
+    task : asyncio.Task
+    seconds : float
+        Time limit.
     """
     loop = asyncio.get_running_loop()
     while True:
-        ends = loop.time() + seconds
-        await asyncio.wait({work}, timeout=seconds)
-        if work.done() or loop.time() - ends < STALL_S:
+        due = loop.time() + seconds
+        await asyncio.wait({task}, timeout=seconds)
+        if task.done() or loop.time() - due < MIN_STALL_S:
             return
-        seconds = AFTER_STALL_S
+        seconds = EXTENSION_S
--- a/landingspool/settings.py
+++ b/landingspool/settings.py
@@ -1,7 +1,8 @@
-"""Settings: TOML, checked as a whole before anything starts.
+"""Settings of the daemon, read from TOML and checked before it starts.
 
-Every error is reported at once, each with the file, the key, the value
-found and what was expected, so that an operator mends a file in one go.
+All errors of a file are reported together, each with the file, the key, the
+value found and the value expected, so that an operator can correct them at
+once.
 """
 
 import ipaddress
@@ -29,7 +30,7 @@
 
 
 class Error(typing.NamedTuple):
-    """One thing that is wrong in a settings file."""
+    """One error in a settings file."""
 
     file: str
     key: str
@@ -38,21 +39,21 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where to listen or to connect, by IP number."""
+    """Address to listen on or to connect to; `host` is an IP address."""
 
     host: str
     port: Port
 
 
 class Box(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who this box is."""
+    """Identity of this box."""
 
     name: Name
     domain: Name
 
 
 class Callers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The side towards callers."""
+    """Server for callers and limits of their requests."""
 
     host: str
     port: Port
@@ -62,7 +63,7 @@
 
 
 class Operators(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The side towards operators."""
+    """Server for operators."""
 
     host: str
     port: Port
@@ -70,7 +71,7 @@
 
 
 class Links(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The links between our own boxes."""
+    """Links between boxes; `queue` is in messages."""
 
     host: str
     port: Port
@@ -79,7 +80,7 @@
 
 
 class Platform(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the platform gives."""
+    """Addresses of the platform's services."""
 
     log: Endpoint
     live: Endpoint
@@ -87,7 +88,7 @@
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the deployment weighs."""
+    """Policies of scheduling, routing and retention, and their parameters."""
 
     routing: Routing = 'earliest'
     charge: Charge = 'reserve'
@@ -103,7 +104,7 @@
 
 
 class Logs(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the log is written."""
+    """Format and level of the log."""
 
     format: typing.Literal['text', 'json'] = 'text'
     level: typing.Literal['DEBUG', 'INFO', 'WARNING', 'ERROR'] = 'INFO'
@@ -131,7 +132,7 @@
     Returns
     -------
     tuple of (Settings or None, list of Error)
-        Settings only where there is no error.
+        Settings are None if there is an error.
     """
     try:
         raw = tomllib.loads(pathlib.Path(path).read_text())
@@ -143,8 +144,8 @@
 
 
 def check(raw, file='-'):
-    """Check a decoded settings file; returns what `load` returns."""
-    errors = list(find_unknown(raw, file))
+    """Check a decoded settings file; see `load` for the result."""
+    errors = list(check_section_names(raw, file))
     parts = {}
     for field in msgspec.structs.fields(Settings):
         section, found = check_section(field, raw, file)
@@ -155,13 +156,13 @@
     return Settings(**parts), []
 
 
-def find_unknown(raw, file):
-    """Yield an error for each section that is not known."""
+def check_section_names(raw, file):
+    """Yield an error for each unknown section."""
     known = {field.name for field in msgspec.structs.fields(Settings)}
     for name in raw:
         if name not in known:
-            wanted = ', '.join(sorted(known))
-            yield Error(file, name, '...', f'expected one of {wanted}')
+            expected = ', '.join(sorted(known))
+            yield Error(file, name, '...', f'expected one of {expected}')
 
 
 def check_section(field, raw, file):
@@ -185,8 +186,8 @@
     known = {field.name: field for field in msgspec.structs.fields(kind)}
     for key in section:
         if key not in known:
-            wanted = ', '.join(known)
-            text = f'unknown key, expected one of {wanted}'
+            expected = ', '.join(known)
+            text = f'unknown key, expected one of {expected}'
             yield Error(file, f'{name}.{key}', section[key], text)
     for key, field in known.items():
         value = section.get(key)
@@ -203,18 +204,18 @@
 
 
 def check_host(key, value, name, file):
-    """Yield an error where a host is not an IP number."""
+    """Yield an error if a host is not an IP address."""
     host = value.host if isinstance(value, Endpoint) else value
     if key != 'host' and not isinstance(value, Endpoint):
         return
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        yield Error(file, name, host, 'expected an IP number')
+        yield Error(file, name, host, 'expected an IP address')
 
 
 def format_error(error):
-    """Give one line for an error.
+    """Return one line of text for an error.
 
     >>> format_error(Error('a.toml', 'box.name', 'X', 'expected a name'))
     "a.toml: box.name = 'X': expected a name"
@@ -223,6 +224,6 @@
     return f'{error.file}: {error.key}{shown}: {error.text}'
 
 
-def take_address(endpoint):
-    """Give the Address of an Endpoint or section with host and port."""
+def make_address(endpoint):
+    """Return the Address of an Endpoint or section with host and port."""
     return http.Address(endpoint.host, endpoint.port)
--- a/landingspool/timer.py
+++ b/landingspool/timer.py
@@ -1,11 +1,11 @@
-"""The timer service: parts subscribe to it and get ticks.
-
-It is also the one place where a standstill of this process is found.  When
-far more time went by between two looks at the clock than the beat takes, the
-process did not run in between (a suspension, a frozen process, a machine
-without a free core): what it knows has aged, though its peers may be as sound
-as before, and what was decided may have lapsed.  Subscribers are told of a
-standstill before anything else is done.
+"""Timer service with periodic ticks, and detection of process stalls.
+
+Parts subscribe to ticks and to stalls.  If the time between two checks of the
+clock far exceeds the period of the checks, the process has stalled: the
+machine was suspended, the process was stopped, or no core was free.  Its
+information is then out of date, though its peers may be healthy, and its
+decisions may have expired.  Subscribers are notified of a stall before
+anything else is handled.
 """
 
 import asyncio
@@ -15,27 +15,27 @@
 from landingspool.decisions import timing
 from landingspool import uptime
 
-# Period in which the clock is looked at, whoever else subscribes, seconds.
-BEAT_S = 0.1
-# Standstills that are remembered, the newest.
-MOST_KEPT = 64
+# Period of the checks for a stall, in seconds.
+CHECK_PERIOD_S = 0.1
+# Number of stalls that are remembered; older ones are dropped.
+MAX_STALLS = 64
 
 
 class Tick(typing.NamedTuple):
-    """One tick, at `now` on the timer's clock."""
+    """One tick, at the time `now` of the timer's clock."""
 
     now: float
 
 
 class Stall(typing.NamedTuple):
-    """A time in which this process did not run.
+    """A period in which this process did not run.
 
     Attributes
     ----------
     seconds : float
-        How long it took.
+        Duration of the stall.
     now : float
-        When it was found, on the timer's clock.
+        Time at which it was detected, on the timer's clock, in seconds.
     """
 
     seconds: float
@@ -43,23 +43,23 @@
 
 
 class Timer:
-    """Calls its subscribers, each in its own period.
+    """Calls each subscriber periodically.
 
     Parameters
     ----------
     clock : callable, optional
-        Gives monotonic seconds.
+        Returns monotonic time in seconds.
     sleep : coroutine function, optional
-        Waits for some seconds; tests hand in virtual time.
+        Waits for a number of seconds; tests pass in virtual time.
     """
 
     def __init__(self, clock=uptime.read, sleep=asyncio.sleep):
         self.now = clock
         self._sleep = sleep
         self._tasks = []
-        self._seen = None
+        self._last_check = None
         self._on_stall = []
-        self._stalls = collections.deque(maxlen=MOST_KEPT)
+        self._stalls = collections.deque(maxlen=MAX_STALLS)
 
     def subscribe(self, period, call):
         """Call ``call(Tick)`` every `period` seconds until `close`."""
@@ -68,21 +68,21 @@
         return task
 
     def subscribe_stall(self, call):
-        """Call ``call(Stall)`` after each standstill until `close`."""
+        """Call ``call(Stall)`` after each stall until `close`."""
         if not self._on_stall:
             self.look()
-            self.subscribe(BEAT_S, lambda tick: None)
+            self.subscribe(CHECK_PERIOD_S, lambda tick: None)
         self._on_stall.append(call)
 
     def look(self):
-        """Look at the clock; gives the time.
+        """Check for a stall and return the time in seconds.
 
-        A standstill is found here.  Who decides on what has just arrived
-        looks first: after a standstill that is handled before any tick.
+        Callers that act on data that has just arrived check first: after a
+        stall such data is handled before any tick.
         """
         now = self.now()
-        seconds = timing.measure_stall(self._seen, now)
-        self._seen = now
+        seconds = timing.measure_stall(self._last_check, now)
+        self._last_check = now
         if seconds:
             stall = Stall(seconds, now)
             self._stalls.append(stall)
@@ -91,22 +91,22 @@
         return now
 
     def ran_since(self, moment):
-        """Tell whether this process has run all the time since a moment."""
+        """Return whether this process has not stalled since `moment`."""
         self.look()
         return not self._stalls or self._stalls[-1].now <= moment
 
     def measure_run(self, since):
-        """Give the seconds since a moment for which this process ran."""
+        """Return the seconds since `since` without the stalls."""
         now = self.look()
-        lost = sum(
-            min(row.seconds, row.now - since)
-            for row in self._stalls
-            if row.now > since
+        stalled_s = sum(
+            min(past.seconds, past.now - since)
+            for past in self._stalls
+            if past.now > since
         )
-        return now - since - lost
+        return now - since - stalled_s
 
     def close(self):
-        """End all subscriptions."""
+        """Cancel all subscriptions."""
         self._on_stall.clear()
         for task in self._tasks:
             task.cancel()
--- a/landingspool/uptime.py
+++ b/landingspool/uptime.py
@@ -1,11 +1,11 @@
-"""The one clock by which the product measures time that went by.
-
-It counts the time for which the machine was suspended: proofs, leases,
-deadlines and marks are then as old on waking as they are to everybody else.
-The usual steady clock stands still meanwhile, so that a box would wake with
-a key that was taken away, or with a right to give orders that another one
-has by now.  The event loop runs on it, too: what was due meanwhile is due at
-once, within a beat of the timer.
+"""The boot-time clock, by which all parts measure elapsed time.
+
+It includes the time for which the machine was suspended.  After a resume the
+age of proofs, leases, deadlines and marks is therefore the same on this box
+as on all others.  The monotonic clock stops during a suspension: a box would
+resume with a revoked key in use, or with a right to issue orders that another
+box holds by then.  The event loop uses this clock as well: timers that expire
+during a suspension run at once, within one period of the timer's checks.
 """
 
 import asyncio
@@ -13,19 +13,19 @@
 
 
 def read():
-    """Give seconds since the machine started, suspended time included."""
+    """Return seconds since the machine's boot, including suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop whose timers run by this clock."""
+    """Event loop whose timers use the boot-time clock."""
 
     def time(self):
-        """Give the time by which timers run (asyncio)."""
+        """Return the time in seconds that timers use (asyncio)."""
         return read()
 
 
 def run(work):
-    """Run a coroutine to its end, as asyncio.run, by this clock."""
+    """Run a coroutine like asyncio.run, with this module's event loop."""
     with asyncio.Runner(loop_factory=Loop) as runner:
         return runner.run(work)
--- a/landingspool/verdict.py
+++ b/landingspool/verdict.py
@@ -1,7 +1,7 @@
-"""Whether a request may have run: the verdict that each final answer has.
+"""Verdict of each final answer on whether the request may have run.
 
-The caller decides by it whether to send the request again, so it is part
-of every answer and never guessed from a status code.
+The caller needs it to decide whether a retry is safe.  It is therefore part
+of every answer, and is not derived from the status code.
 """
 
 import enum
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -57,7 +57,7 @@
 def test_usual_lines_are_bounded_and_failures_are_not():
     read_end, write_end = os.pipe()
     clock = Clock()
-    sink = lines.Lines(write_end, 'b', clock, usual=5)
+    sink = lines.Lines(write_end, 'b', clock, max_debug_per_s=5)
     for _ in range(20):
         sink.write(Message('usual\n', 'DEBUG'))
         sink.write(Message('failed\n', 'INFO'))
