--- a/landingspool/box.py
+++ b/landingspool/box.py
@@ -8,6 +8,7 @@
 import time
 import typing
 
+from landingspool import boot_clock
 from landingspool.callers import server as callers
 from landingspool import core as core_module
 from landingspool.decisions import node as node_module
@@ -22,14 +23,13 @@
 from landingspool.operators import server as operators
 from landingspool import settings as settings_module
 from landingspool import timer as timer_module
-from landingspool import uptime
 
 LIVE_POLL_S = 0.5
 DRAIN_NOTICE_S = 1.5
 DRAIN_POLL_S = 0.05
 
 
-class Outside(typing.NamedTuple):
+class Environment(typing.NamedTuple):
     """Interfaces of a box to its environment.
 
     Attributes
@@ -42,7 +42,7 @@
     """
 
     client: typing.Any
-    clock: typing.Callable = uptime.read
+    clock: typing.Callable = boot_clock.read
     wall: typing.Callable = time.time
 
 
@@ -54,7 +54,7 @@
     settings : settings.Settings
     incarnation : str
         Identifies this start of the box; sorts after all earlier ones.
-    environment : Outside
+    environment : Environment
     """
 
     def __init__(self, settings, incarnation, environment):
--- a/landingspool/core.py
+++ b/landingspool/core.py
@@ -44,7 +44,7 @@
         self.metrics = metrics
         self.client = client
         self.links = None
-        self.relays = {}
+        self.message_handlers = {}
         self._inboxes = {}
         self._tasks = set()
         self._event_numbers = {}
@@ -120,7 +120,7 @@
         """Update the members from the live list of the platform."""
         self.perform(self.node.set_live(members, self.timer.now()))
 
-    def find_address(self, name):
+    def get_address(self, name):
         """Return the Address of a member, or None if it is unknown."""
         member = self.node.members.get(name)
         return http.Address(member.host, member.port) if member else None
@@ -152,7 +152,7 @@
             inbox.put_nowait((action.message, self.timer.now()))
 
     def _relay(self, action):
-        call = self.relays.get(type(action.message))
+        call = self.message_handlers.get(type(action.message))
         if call is not None:
             call(action.sender, action.message)
 
--- a/landingspool/daemon.py
+++ b/landingspool/daemon.py
@@ -8,13 +8,13 @@
 import sys
 import time
 
+from landingspool import boot_clock
 from landingspool import box as box_module
 from landingspool.boxes import link
 from landingspool import events
 from landingspool import http
 from landingspool import httpclient
 from landingspool import settings as settings_module
-from landingspool import uptime
 
 BAD_SETTINGS = 2
 CLOSE_GRACE_S = 1.0
@@ -34,7 +34,7 @@
         # The time of the start in milliseconds, in hexadecimal: a later
         # start of the same box sorts after an earlier one.
         incarnation = f'{time.time_ns() // 1_000_000:x}'
-        environment = box_module.Outside(self.client)
+        environment = box_module.Environment(self.client)
         self.box = box_module.Box(settings, incarnation, environment)
         self.links = self._make_links()
         self.caller_server = http.Server(
@@ -71,7 +71,7 @@
         )
         return link.Links(
             identity,
-            core.find_address,
+            core.get_address,
             core.deliver,
             core.recorder,
             core.metrics,
@@ -110,7 +110,7 @@
     # Imported objects live as long as the process: the garbage collector
     # need not visit them again.
     gc.freeze()
-    uptime.run(serve(settings))
+    boot_clock.run(serve(settings))
     return 0
 
 
--- a/landingspool/events.py
+++ b/landingspool/events.py
@@ -1,8 +1,8 @@
 """Numbered events of this process, for the log and the timeline.
 
-Each event has a number in the catalogue (kinds.py).  Events are written to
-the log and to a ring buffer that operators read over HTTP.  A hybrid logical
-clock orders them across all processes.
+Each event has a number in the catalogue (event_kinds.py).  Events are written
+to the log and to a ring buffer that operators read over HTTP.  A hybrid
+logical clock orders them across all processes.
 """
 
 import collections
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from landingspool.decisions import clock
-from landingspool import kinds
+from landingspool import event_kinds
 
 RING_EVENTS = 4096
 
@@ -62,7 +62,7 @@
 
     def record(self, name, **fields):
         """Record the event `name` of the catalogue and return it."""
-        kind = kinds.CATALOGUE[name]
+        kind = event_kinds.CATALOGUE[name]
         self._stamp = clock.advance(self._stamp, self._wall())
         event = Event(self._stamp, self.box, kind.number, name, fields)
         self._ring.append(event)
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -32,7 +32,7 @@
 from landingspool.platform import runners
 from landingspool.platform import store
 from landingspool import timer as timer_module
-from landingspool import uptime
+from landingspool import boot_clock
 
 # Period of the heartbeat that shows that this process isn't stalled.
 HEARTBEAT_S = 0.1
@@ -73,7 +73,7 @@
         Returns the time of day, seconds since 1970.
     """
 
-    def __init__(self, place, seed, clock=uptime.read, wall=time.time):
+    def __init__(self, place, seed, clock=boot_clock.read, wall=time.time):
         self.place = place
         self.clock = clock
         self.wall = wall
--- a/landingspool/lines.py
+++ b/landingspool/log_sink.py
@@ -1,7 +1,7 @@
 """Log output to standard output that never blocks the process.
 
 A slow reader of the log must not delay requests: a line that does not fit
-into the pipe at once is dropped and counted.  Lines of successful requests
+into the pipe at once is dropped and counted.  LogSink of successful requests
 are limited per second; all others are written.  At most once a second a line
 reports how many were dropped, so that gaps in the log are visible.
 """
@@ -13,17 +13,17 @@
 
 from loguru import logger
 
-from landingspool import kinds
-from landingspool import uptime
+from landingspool import boot_clock
+from landingspool import event_kinds
 
-# Lines per second of successful requests.  A box that serves 35 requests per
+# LogSink per second of successful requests.  A box that serves 35 requests per
 # second writes two such lines for each.
 MAX_DEBUG_LINES_PER_S = 150
 DEBUG_LEVEL = 'DEBUG'
-LEFT_OUT = kinds.CATALOGUE['left_out']
+LEFT_OUT = event_kinds.CATALOGUE['left_out']
 
 
-class Lines:
+class LogSink:
     """Non-blocking sink for loguru.
 
     Parameters
@@ -44,7 +44,7 @@
         self,
         descriptor,
         box,
-        clock=uptime.read,
+        clock=boot_clock.read,
         max_debug_per_s=MAX_DEBUG_LINES_PER_S,
         wall=time.time,
     ):
@@ -111,7 +111,7 @@
     logger.remove()
     logger.configure(extra={'box': '-'})
     logger.add(
-        Lines(descriptor, box),
+        LogSink(descriptor, box),
         format='{message}',
         level=level,
         backtrace=False,
--- a/landingspool/patience.py
+++ b/landingspool/timeouts.py
@@ -15,7 +15,7 @@
 EXTENSION_S = 0.1
 
 
-class Limit:
+class Timeout:
     """Context manager like asyncio.timeout that allows for stalls.
 
     Parameters
--- a/landingspool/timer.py
+++ b/landingspool/timer.py
@@ -12,8 +12,8 @@
 import collections
 import typing
 
+from landingspool import boot_clock
 from landingspool.decisions import timing
-from landingspool import uptime
 
 # Period of the checks for a stall, in seconds.
 CHECK_PERIOD_S = 0.1
@@ -53,7 +53,7 @@
         Waits for a number of seconds; tests pass in virtual time.
     """
 
-    def __init__(self, clock=uptime.read, sleep=asyncio.sleep):
+    def __init__(self, clock=boot_clock.read, sleep=asyncio.sleep):
         self.now = clock
         self._sleep = sleep
         self._tasks = []
@@ -95,7 +95,7 @@
         self.look()
         return not self._stalls or self._stalls[-1].now <= moment
 
-    def measure_run(self, since):
+    def measure_running_s(self, since):
         """Return the seconds since `since` without the stalls."""
         now = self.look()
         stalled_s = sum(
