--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,8 @@
-"""What the HTTP client takes for silence."""
+"""Time-outs of the HTTP client during a stall of the process.
+
+After a stall a time-out is due at once: without an extension the client would
+give up a peer whose answer has already arrived.
+"""
 
 import asyncio
 import socket
@@ -16,7 +20,7 @@
 
 
 class Peer:
-    """Answers one request from a thread of its own, or never does."""
+    """Peer in a separate thread that answers one request, or never does."""
 
     def __init__(self, answers):
         self._listener = socket.create_server(('127.0.0.1', 0))
@@ -32,25 +36,25 @@
             time.sleep(ANSWERED_AFTER_S)
             if self._answers:
                 connection.sendall(ANSWER)
-            # The peer's end: nothing, or the close of the connection.
+            # Wait until the client closes the connection.
             connection.recv(4096)
 
     def close(self):
-        """Wait until the thread has ended."""
+        """Wait for the end of the thread."""
         self._thread.join()
         self._listener.close()
 
 
 async def fetch_beside_stall(address):
-    """Fetch while the loop stands still across the answer and the end."""
+    """Fetch while the loop is stalled across the answer and the time-out."""
     client = httpclient.Client()
-    work = asyncio.ensure_future(
+    task = asyncio.ensure_future(
         client.fetch(address, 'GET', '/', timeout=TIMEOUT_S)
     )
     await asyncio.sleep(0.05)
     time.sleep(TIMEOUT_S + 0.3)
     try:
-        return await work
+        return await task
     finally:
         client.close()
 
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines never hold the process up, and say what was left out."""
+"""The log sink never blocks the process, and reports dropped lines."""
 
 import json
 import os
@@ -8,7 +8,7 @@
 
 
 class Message(str):
-    """A line as loguru hands it to a sink."""
+    """A line as loguru passes it to a sink."""
 
     def __new__(cls, text, level):
         message = super().__new__(cls, text)
@@ -24,7 +24,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test sets."""
 
     def __init__(self):
         self.now = 0.0
@@ -50,7 +50,7 @@
     record = [json.loads(r) for r in rows if r.startswith('{')]
     assert record[0]['full'] == lost
     assert rows[-2] == 'after'
-    # No line is mingled with another one.
+    # No line is mixed with another one.
     assert {len(row) for row in rows if row.startswith('x')} == {4095}
 
 
@@ -66,9 +66,9 @@
     assert text.count('failed') == 20
     clock.now = 1.1
     sink.write(Message('next\n', 'INFO'))
-    told = os.read(read_end, 1 << 16).decode().splitlines()[0]
-    # The tool that reads collected lines sees the gap too.
-    event = logs.parse_line(told)
+    report = os.read(read_end, 1 << 16).decode().splitlines()[0]
+    # The tool that reads collected logs sees the gap too.
+    event = logs.parse_line(report)
     assert event.name == 'left_out'
     assert event.box == 'b'
     assert event.fields == {'usual': 15, 'full': 0}
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The tool tells the story of a request from collected log lines."""
+"""The command-line tool explains a request from collected log lines."""
 
 from cleo.testers import command_tester
 
@@ -15,14 +15,14 @@
 )
 
 
-def ask(name, *words):
-    """Run a command of the tool; gives its status and what it printed."""
+def run_command(name, *words):
+    """Run a command of the tool and return its exit status and output."""
     tester = command_tester.CommandTester(tool.make_application().find(name))
     status = tester.execute(' '.join(words))
     return status, tester.io.fetch_output()
 
 
-def write(folder):
+def write_log(folder):
     """Write the lines to a file."""
     path = folder / 'a.log'
     path.write_text('\n'.join(LINES))
@@ -30,19 +30,23 @@
 
 
 def test_explain_reads_logs_in_order(tmp_path):
-    status, text = ask('explain', 'r', '--logs', write(tmp_path))
+    status, text = run_command('explain', 'r', '--logs', write_log(tmp_path))
     assert status == 0
     assert text.index('dispatched') < text.index('not_served')
     assert 'dispatched to t; not_served' in text
 
 
 def test_timeline_selects_by_target(tmp_path):
-    status, text = ask('timeline', '--target', 'u', '--logs', write(tmp_path))
+    status, text = run_command(
+        'timeline', '--target', 'u', '--logs', write_log(tmp_path)
+    )
     assert status == 0
     assert 'request=q' in text
     assert 'request=r' not in text
 
 
 def test_an_unknown_request_and_a_missing_file_have_a_status(tmp_path):
-    assert ask('explain', 'z', '--logs', write(tmp_path))[0] == 1
-    assert ask('explain', 'z', '--logs', str(tmp_path / 'none'))[0] == 2
+    assert run_command('explain', 'z', '--logs', write_log(tmp_path))[0] == 1
+    assert (
+        run_command('explain', 'z', '--logs', str(tmp_path / 'none'))[0] == 2
+    )
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""What the HTTP server says on a connection that nobody asks on."""
+"""The HTTP server sends no answer on a connection without a request."""
 
 import asyncio
 
@@ -16,7 +16,8 @@
     ('sent', 'status'), [(b'', b''), (b'GET / HTTP/1.1\r\n', b' 408 ')]
 )
 def test_only_a_request_is_answered(monkeypatch, sent, status):
-    # Guards against an answer that is taken for that to the next request.
+    # Guards against an answer on an idle connection, which the client would
+    # take for the answer to its next request.
     monkeypatch.setattr(http, 'IDLE_TIMEOUT_S', 0.1)
     monkeypatch.setattr(http, 'HEADER_TIMEOUT_S', 0.1)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: good files pass, and all errors of a bad one are shown."""
+"""Valid settings files pass, and all errors of an invalid one are shown."""
 
 import pathlib
 
