--- a/landingspool/decisions/gateway/__init__.py
+++ b/landingspool/decisions/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""What decides about relayed requests: pure, records and the time in."""
+"""Decisions about relayed requests, without I/O or a clock of their own."""
--- a/landingspool/decisions/gateway/admission.py
+++ b/landingspool/decisions/gateway/admission.py
@@ -1,55 +1,57 @@
-"""Whether a request is sent on, or told at once to come back.
-
-Past its capacity an engine serves everybody late: runs last longer, so
-more of them hold memory, prompts are dropped and read again.  A request
-that would wait too long is refused before it begins; what needs the most
-reading is refused first, since it costs the others the most.  And as the
-places of all targets of a service fill up, the least urgent are refused first:
-the wait at one target is known late, what all have together is known well.
+"""Decides whether a request is sent on, or refused with a time to retry.
+
+Above its capacity an engine is late for every request: runs last longer, so
+more of them hold memory, and cached prompts are evicted and read again.  A
+request with too long an expected wait is refused before it begins; those with
+the most tokens to read are refused first, since they delay others the most. As
+the slots of all targets of a service fill up, the least urgent requests are
+refused first: the wait at a single target is known with a delay, the total
+over all targets is known well.
 """
 
 import math
 
-# Share of the latency a route aims at that may go by in waiting, by the
-# priority of the route: targets begin the more urgent first, so the same
-# queue is a shorter wait for them; and what is least urgent, and takes the
-# most time at a target, is the first to be told to come back.
+# Share of a route's latency objective that may be spent waiting, by the
+# route's priority: targets begin more urgent requests first, so that the same
+# queue is a shorter wait for them; the least urgent ones, which run longest,
+# are refused first.
 WAIT_SHARES = 1.2, 0.6, 0.4
-# Share of the places of all targets of a service that are taken from which on
-# requests are turned away, and from which on all of them are, by the priority
-# of the route.  A little under all places, since they are never taken evenly:
-# at 12 places a target, waits grow from nine tenths on.
+# Share of taken slots, over all targets of a service, from which on some
+# requests are refused, and from which on all are, by the route's priority. A
+# little under all slots, since load is never spread evenly: with 12 slots a
+# target, waits grow from nine tenths on.
 PRESSURES = (1.1, 1.4), (0.95, 1.1), (0.85, 1.0)
-# Share of the memory of all targets that requests hold from which on large
-# ones are turned away, and from which on all large ones are, by the priority
-# of the route.  Over it runs are preempted and read again: in a day with a
-# quarter of the engines dark 406 were where nobody was turned away for memory,
-# and 134 where small requests were, too, which hold a twentieth of it.
+# Share of memory held by requests, over all targets, from which on some large
+# requests are refused, and from which on all large ones are, by the route's
+# priority.  Above it runs are preempted and their prompts read again: with a
+# quarter of the engines unreachable there were 406 preemptions where nothing
+# was refused for memory, and 134 where small requests, which hold a twentieth
+# of the memory, were refused as well.
 MEMORY_SHARES = (0.95, 1.2), (0.85, 1.1), (0.8, 1.0)
-# Tokens to be read from which on a request is refused earlier, by the root
-# of how many times more it is.
-USUAL_READ = 3000
-# Seconds after which a refused caller is asked to come back, and at most:
-# what waits is mostly read by then.
-LEAST_RETRY_S = 0.15
-MOST_RETRY_S = 0.6
-# Where places are short everywhere that takes longer: runs take one to two
-# seconds.  So many seconds for each place that is short, and at most; callers
-# wait for a third of the time that they have left.
-SHORT_RETRY_S = 5.0
-MOST_SHORT_RETRY_S = 2.0
-# Times as long that a caller is told to wait, spread evenly between both:
-# callers refused together come back apart.
+# Tokens to be read above which the limit of the wait gets shorter, by the
+# square root of the ratio.
+USUAL_READ_TOKENS = 3000
+# Lowest and highest retry time in seconds: most of a queue is read by then.
+MIN_RETRY_S = 0.15
+MAX_RETRY_S = 0.6
+# Where slots are short at all targets it takes longer, since runs take one to
+# two seconds.  Seconds of retry time for a shortage of all slots,
+# proportionally less for a smaller one, and the highest; callers wait for a
+# third of the time that they have left.
+SHORTAGE_RETRY_S = 5.0
+MAX_SHORTAGE_RETRY_S = 2.0
+# Range of the random factor on the retry time: callers refused together come
+# back at different times.
 RETRY_SPREAD = 0.8, 1.4
 
 
-def find_limit(target_latency_s, read_tokens, priority):
-    """Give the longest expected wait with which a request is admitted.
+def compute_wait_limit(target_latency_s, read_tokens, priority):
+    """Return the longest expected wait with which a request is admitted.
 
     Parameters
     ----------
     target_latency_s : float
-        Seconds to the first byte that its route aims at.
+        Latency objective of its route: seconds to the first byte.
     read_tokens : int
         Prompt tokens that the target has to read.
     priority : int
@@ -60,51 +62,58 @@
     float
         Seconds.
 
-    >>> find_limit(0.5, 1000, 0), round(find_limit(0.5, 12000, 0), 3)
-    (0.6, 0.3)
-    >>> find_limit(0.5, 1000, 1), find_limit(0.5, 1000, 7)
+    >>> compute_wait_limit(0.5, 1000, 0)
+    0.6
+    >>> round(compute_wait_limit(0.5, 12000, 0), 3)
+    0.3
+    >>> compute_wait_limit(0.5, 1000, 1), compute_wait_limit(0.5, 1000, 7)
     (0.3, 0.2)
     """
-    size = max(read_tokens / USUAL_READ, 1.0)
+    size = max(read_tokens / USUAL_READ_TOKENS, 1.0)
     share = pick_row(WAIT_SHARES, priority)
     return target_latency_s * share / math.sqrt(size)
 
 
 def is_admitted(wait_s, target_latency_s, read_tokens, priority):
-    """Tell whether a request may be sent on, by its expected wait.
+    """Return whether a request may be sent, by its expected wait.
 
     Parameters
     ----------
     wait_s : float
-        Expected at the target; the others are those of find_limit.
+        Expected at the target; the others are those of compute_wait_limit.
 
     >>> is_admitted(0.4, 0.4, 1000, 0), is_admitted(0.4, 0.4, 12000, 0)
     (True, False)
     """
-    return wait_s <= find_limit(target_latency_s, read_tokens, priority)
+    return wait_s <= compute_wait_limit(
+        target_latency_s, read_tokens, priority
+    )
 
 
-def is_spared(share, bounds, priority, chance):
-    """Tell whether a request is spared as places or memory fill up.
+def is_below_share(share, bounds, priority, chance):
+    """Return whether a request is admitted as slots or memory fill up.
 
     Parameters
     ----------
     share : float
-        That is taken of all places, or of all memory by this one's need.
+        Of all slots that are taken, or of memory, weighted by this request's
+        need.
     bounds : tuple of tuple of float
         PRESSURES or MEMORY_SHARES.
     priority : int
         Of its route; 0 is the most urgent.
     chance : float
-        Evenly between 0 and 1: a share is turned away, not all at once.
+        Uniform between 0 and 1: the share of refused requests grows gradually.
 
-    >>> is_spared(0.9, PRESSURES, 2, 0.5), is_spared(0.95, PRESSURES, 2, 0.5)
-    (True, False)
-    >>> is_spared(1.0, PRESSURES, 0, 0.5)
+    >>> is_below_share(0.9, PRESSURES, 2, 0.5)
+    True
+    >>> is_below_share(0.95, PRESSURES, 2, 0.5)
+    False
+    >>> is_below_share(1.0, PRESSURES, 0, 0.5)
     True
-    >>> is_spared(0.7, MEMORY_SHARES, 2, 0.1)
+    >>> is_below_share(0.7, MEMORY_SHARES, 2, 0.1)
     True
-    >>> is_spared(0.95, MEMORY_SHARES, 2, 0.1)
+    >>> is_below_share(0.95, MEMORY_SHARES, 2, 0.1)
     False
     """
     first, last = pick_row(bounds, priority)
@@ -112,16 +121,16 @@
 
 
 def find_retry_after(wait_s, pressure, rng):
-    """Give the seconds after which a refused caller should come back.
+    """Return the seconds after which a refused caller should retry.
 
     Parameters
     ----------
     wait_s : float
         Expected at the target.
     pressure : float
-        Requests at all targets of the service, by their places.
+        Requests at all targets of the service, divided by their slots.
     rng : random.Random
-        Spreads the callers.
+        Spreads the retries.
 
     >>> import random
     >>> 0.48 <= find_retry_after(0.9, 0.5, random.Random(1)) <= 0.84
@@ -129,15 +138,15 @@
     >>> 0.6 <= find_retry_after(0.1, 1.0, random.Random(1)) <= 1.05
     True
     """
-    seconds = min(max(wait_s, LEAST_RETRY_S), MOST_RETRY_S)
+    seconds = min(max(wait_s, MIN_RETRY_S), MAX_RETRY_S)
     first, _ = PRESSURES[-1]
-    short = max(pressure - first, 0.0) * SHORT_RETRY_S
-    seconds = max(seconds, min(short, MOST_SHORT_RETRY_S))
+    shortage = max(pressure - first, 0.0) * SHORTAGE_RETRY_S
+    seconds = max(seconds, min(shortage, MAX_SHORTAGE_RETRY_S))
     return seconds * rng.uniform(*RETRY_SPREAD)
 
 
 def pick_row(rows, priority):
-    """Give the row of a priority; the last one is for all less urgent.
+    """Return the row of a priority; the last one is for all less urgent ones.
 
     >>> pick_row('abc', 0), pick_row('abc', 2), pick_row('abc', 7)
     ('a', 'c', 'c')
--- a/landingspool/decisions/gateway/allowance.py
+++ b/landingspool/decisions/gateway/allowance.py
@@ -1,19 +1,19 @@
-"""The retry budget of one box: its part of what all boxes may repeat.
+"""Limits the repeats of one box: its part of the retry budget of all boxes.
 
-All boxes together may send again a share of the requests of a service and
-a fixed number more in any window.  Each box spends only the share of its
-own requests and its part of the fixed number, so no talk is needed.
+All boxes together may repeat a share of the requests of a service, and a fixed
+number more in any window.  Each box uses only the share of its own requests
+and its part of the fixed number, so that boxes need no coordination.
 """
 
 import collections
 
-# Part of the bound that is used: the windows of the count slide, and a
-# request may be counted in the neighbouring one.
-USED = 0.8
+# Share of the bound that is used: the windows of the count slide, and a
+# request may be counted in an adjacent one.
+USED_SHARE = 0.8
 
 
 class Allowance:
-    """Counts first sends and repeats of one service in a sliding window.
+    """Count first sends and repeats of one service in a sliding window.
 
     Parameters
     ----------
@@ -22,6 +22,7 @@
     slack : float
         Further repeats in a window, over all boxes.
     window_s : float
+        Length of the window in seconds.
     """
 
     def __init__(self, ratio, slack, window_s):
@@ -37,29 +38,30 @@
         self._forget(now)
 
     def take(self, now, boxes):
-        """Take one repeat; returns False when there is none left.
+        """Take one repeat; return False if none is left.
 
         Parameters
         ----------
         boxes : int
-            Boxes that may share the slack: the most that are believed in.
+            Boxes that may share the slack: the highest number assumed.
 
-        >>> allowance = Allowance(0.2, 5.0, 10.0)
-        >>> [allowance.take(0.0, 2) for _ in range(3)]
+        >>> budget = Allowance(0.2, 5.0, 10.0)
+        >>> [budget.take(0.0, 2) for _ in range(3)]
         [True, True, False]
-        >>> allowance.take(11.0, 2)
+        >>> budget.take(11.0, 2)
         True
         """
         self._forget(now)
         earned = len(self._firsts) * self._ratio
-        most = USED * (earned + self._slack / max(boxes, 1))
-        if len(self._repeats) + 1 > most:
+        limit = USED_SHARE * (earned + self._slack / max(boxes, 1))
+        if len(self._repeats) + 1 > limit:
             return False
         self._repeats.append(now)
         return True
 
     def _forget(self, now):
-        # Repeats stay a window longer than firsts: a bound on any window.
+        # Repeats are kept for a full window after the first sends that earned
+        # them: the bound holds in any window.
         for times in (self._firsts, self._repeats):
             while times and now - times[0] > self._window_s:
                 times.popleft()
--- a/landingspool/decisions/gateway/choice.py
+++ b/landingspool/decisions/gateway/choice.py
@@ -1,10 +1,11 @@
-"""Chooses the target of a request.
-
-Each box decides alone, on what it has heard and on what it sent itself.
-For engines the choice is the earliest expected first token: what the
-target still has to read of the prompt, behind what already waits there.
-Where nobody keeps a prompt all boxes agree on a first home for it by
-rendezvous hashing, so its followers find it without a word between boxes.
+"""Chooses the target of a request by the expected time to its first byte.
+
+Each box decides by itself, from its own requests and from what other boxes
+report.  For engines the expected time is that of reading the part of the
+prompt that is not cached there, plus the wait behind other requests.  If no
+target has the prompt cached, rendezvous hashing gives all boxes the same
+preferred target, so that requests that share the prompt meet there without
+coordination.
 """
 
 import typing
@@ -13,50 +14,51 @@
 from landingspool.decisions.gateway import prompts
 from landingspool.decisions import ownership
 
-# Share of the time of reading shared parts that no store holds by which a
-# target is put behind for each place that it is further down in their hash
-# order: followers of a part then find it where it is being read.  What a
-# store holds any target fetches, so that it needs no home.
-HOME_SHARE = 0.03
-# Engines that a request is weighed for, beside those with a connection at
-# rest: the first ones in the hash order of its prompt.  What boxes know of
-# each other's requests is some tenths of a second old, so that all of them
-# see the same engine idle and send to it.  Among few that differ from prompt
-# to prompt that does no harm.
-HOMES = 6
-# Seconds a request counts that waits for its first byte at a plain target.
+# Penalty for each rank of a target in the hash order of a shared part, as a
+# share of the time of reading the shared parts that no store holds: later
+# requests then find a part where it is being read.  Parts in a store can be
+# fetched by any target and need no preferred one.
+AFFINITY_SHARE = 0.03
+# Engines that are candidates for a request, beside those with an idle
+# connection: the first ones in the hash order of its prompt.  Reports of other
+# boxes are some tenths of a second old, so all boxes see the same idle engine
+# and would send to it.  A small set that differs from prompt to prompt avoids
+# that.
+MAX_PREFERRED = 6
+# Seconds that a request waiting for its first byte adds at a plain target.
 PLAIN_WORK_S = 0.045
-# Seconds one running request adds to the first token of the next: a step
+# Seconds that one running request adds to the first token of the next: a step
 # takes 3.2 ms, and each running request lengthens it by 0.05 ms.
 RUNNING_S = 0.0006
-# Share of an engine's memory that running requests may take; the rest keeps
-# context for the next ones.  Over it, and over the places, waits grow with
-# the time of a run: two seconds for the longest kind.
+# Share of an engine's memory that running requests may take; the remainder
+# caches context for later requests.  Above it, or above the number of slots,
+# waits grow with the time of a run: two seconds for the longest kind.
 MEMORY_SHARE = 0.75
 RUN_S = 2.0
-# A failing target is put behind by so much at a failure share of one.
+# Seconds of penalty for a target all of whose requests fail; proportionally
+# less for a lower share of failures.
 FAILING_S = 1.5
-# A request sent to a target for other reasons than its rank, to learn
-# whether it has recovered: one in so many.
+# Share of requests that go to a doubtful target regardless
+# of its rank, to detect its recovery.
 TRIAL_SHARE = 0.03
-# A target that is slow from its start is put behind by this share of the
-# time that it stays slow.
+# Penalty for a target that is slow after its start, as a share of the time for
+# which it stays slow.
 COLD_SHARE = 0.1
-# Seconds that another failure domain costs: two ways of 0.9 ms and the
-# bytes between domains, which are dear; small against reading a prompt.
-FAR_S = 0.015
-# Seconds by which an engine without a connection at rest is put behind.  A
-# new one takes 10 ms and a place among those that the engine accepts, and is
-# dear: where many boxes meet many engines each would open one for most
+# Penalty in seconds for a target in another failure domain: two trips of 0.9
+# ms, and the cost of bytes between domains; small against reading a prompt.
+CROSS_DOMAIN_S = 0.015
+# Penalty in seconds for an engine without an idle connection.  A new
+# connection takes 10 ms and one of those that the engine accepts, and is
+# expensive: with many boxes and many engines each box would open one for most
 # requests.
 CONNECT_S = 0.04
-# The same at a plain target, which answers sooner: less than it takes to run
-# what fills its places.
+# The same for a plain target, which answers sooner: less than the time to run
+# the requests that fill its slots.
 PLAIN_CONNECT_S = 0.02
 
 
 class Load(typing.NamedTuple):
-    """What this box has at one target.
+    """Requests at one target, of this box and of its peers.
 
     Attributes
     ----------
@@ -65,14 +67,14 @@
     running : int
         Requests whose answer has begun.
     waiting_tokens : int
-        Prompt tokens to be read for those waiting.
+        Prompt tokens to be read for the waiting requests.
     oldest : float or None
-        When the one that waits longest was sent.
-    heard : float
-        When the target last sent any byte on any request.
+        When the request that waits longest was sent.
+    last_byte : float
+        When the target last sent a byte of any answer.
     held_tokens : int
-        Tokens of all these requests, made ones included.
-    others_tokens, others_running, others_held, others_waiting : float
+        Tokens of all these requests, generated ones included.
+    peer_tokens, peer_running, peer_held, peer_waiting : float
         The same of other boxes.
     """
 
@@ -80,32 +82,32 @@
     running: int = 0
     waiting_tokens: int = 0
     oldest: float | None = None
-    heard: float = 0.0
-    others_tokens: float = 0.0
-    others_running: float = 0.0
+    last_byte: float = 0.0
+    peer_tokens: float = 0.0
+    peer_running: float = 0.0
     held_tokens: int = 0
-    others_held: float = 0.0
-    others_waiting: float = 0.0
+    peer_held: float = 0.0
+    peer_waiting: float = 0.0
 
 
 class Candidate(typing.NamedTuple):
     """One target as the choice sees it.
 
-    `kept` are the tokens of the prompt that it need not read, `saved` those
-    that stores hold, `fetched_s` the seconds that these take to come.
-    `handicap_s` puts it behind the others; `capacity` is its memory in
-    tokens, 0 where it is not known; `cold_s` is how much longer it is slow.
-    `weight` is the share of a wait for memory that the request bears;
-    `limited` tells whether it names a limit.
+    `cached` is the number of prompt tokens cached at the target, `stored` the
+    number held by stores, `fetch_s` the seconds to fetch the latter.
+    `penalty_s` is added to its expected time; `capacity` is its memory in
+    tokens, 0 if not known; `cold_s` is how much longer it is slow after its
+    start.  `weight` is the share of the wait for memory that applies to the
+    request; `limited` is whether the target advertises a limit.
     """
 
     entry: typing.Any
     load: Load
     health: health_module.Health
     kept: int = 0
-    saved: int = 0
-    fetched_s: float = 0.0
-    handicap_s: float = 0.0
+    stored: int = 0
+    fetch_s: float = 0.0
+    penalty_s: float = 0.0
     capacity: int = 0
     ready: bool = False
     cold_s: float = 0.0
@@ -113,15 +115,15 @@
     limited: bool = False
 
 
-class Held(typing.NamedTuple):
-    """Memory that requests hold: a share of all, and tokens of one request."""
+class HeldMemory(typing.NamedTuple):
+    """Memory held by requests: share of all, and mean tokens of a request."""
 
     share: float
     mean: float
 
 
 class Chosen(typing.NamedTuple):
-    """The target chosen, with what decided it, for the log.
+    """The chosen target and the values that decided it, for the log.
 
     `wait_s` is the expected wait behind other requests.
     """
@@ -133,8 +135,8 @@
     wait_s: float = 0.0
 
 
-def choose(candidates, prompt, domain, now, rng, patience_s):
-    """Choose a target, or None where none may be used.
+def choose(candidates, prompt, domain, now, rng, silence_timeout_s):
+    """Choose a target; return None if none may be used.
 
     Parameters
     ----------
@@ -144,146 +146,153 @@
     domain : str
         Failure domain of this box.
     rng : random.Random
-    patience_s : float
-        A target is silent that had a request for longer without a byte.
+    silence_timeout_s : float
+        Seconds without a byte after which a target with a request is silent.
 
     Returns
     -------
     Chosen or None
     """
-    usable = list_usable(candidates, now, patience_s)
+    usable = list_usable(candidates, now, silence_timeout_s)
     if not usable:
         return None
-    # Once for all of them: a large service has some sixty targets.
+    # Computed once: a large service has some sixty targets.
     peers = health_module.measure_peers([c.health for c in usable])
-    homes = rank_homes(prompt, usable)
-    usable = narrow(usable, homes)
+    ranks = rank_targets(prompt, usable)
+    usable = limit_to_preferred(usable, ranks)
     scored = []
     for candidate in usable:
-        seconds = expect_first(candidate, prompt, domain, peers)
-        place = homes.get(candidate.entry.name, 0)
-        seconds += place * find_home_step(candidate, prompt)
+        seconds = estimate_first_byte(candidate, prompt, domain, peers)
+        rank = ranks.get(candidate.entry.name, 0)
+        seconds += rank * compute_rank_penalty(candidate, prompt)
         scored.append((seconds, rng.random(), candidate))
     if rng.random() < TRIAL_SHARE:
         best = pick_trial(scored) or min(scored)
     else:
         best = min(scored)
     seconds, _, candidate = best
-    wait = expect_wait(candidate)
+    wait = estimate_wait(candidate)
     return Chosen(candidate.entry, seconds, candidate.kept, len(usable), wait)
 
 
-def list_usable(candidates, now, patience_s):
-    """List those that are not avoided; all but the silent if none is left.
+def list_usable(candidates, now, silence_timeout_s):
+    """Return the candidates that are not avoided, or else all that answer.
 
-    A service with no sound target at all is still tried: the worst that
-    can happen is what refusing would do for certain.
+    If every target is avoided, requests are still sent to those that are not
+    silent: the worst outcome is the failure that a refusal makes certain.
     """
     sound = [
         c
         for c in candidates
         if not health_module.is_avoided(c.health, now)
-        and not is_silent(c.load, now, patience_s)
+        and not is_silent(c.load, now, silence_timeout_s)
         and not (health_module.is_on_trial(c.health, now) and c.load.waiting)
     ]
     if sound:
         return sound
-    return [c for c in candidates if not is_silent(c.load, now, patience_s)]
+    return [
+        c for c in candidates if not is_silent(c.load, now, silence_timeout_s)
+    ]
 
 
-def is_silent(load, now, patience_s):
-    """Tell whether a target has sent nothing while a request waited long.
+def is_silent(load, now, silence_timeout_s):
+    """Return whether a target with a waiting request sent no byte for long.
 
-    >>> is_silent(Load(waiting=1, oldest=1.0, heard=0.5), 3.0, 1.0)
+    >>> is_silent(Load(waiting=1, oldest=1.0, last_byte=0.5), 3.0, 1.0)
     True
-    >>> is_silent(Load(waiting=1, oldest=1.0, heard=2.9), 3.0, 1.0)
+    >>> is_silent(Load(waiting=1, oldest=1.0, last_byte=2.9), 3.0, 1.0)
     False
     """
     if load.oldest is None:
         return False
-    return now - max(load.oldest, load.heard) > patience_s
+    return now - max(load.oldest, load.last_byte) > silence_timeout_s
 
 
-def expect_first(candidate, prompt, domain, peers):
-    """Give the expected seconds to the first byte, as a rank."""
+def estimate_first_byte(candidate, prompt, domain, peers):
+    """Return the expected seconds to the first byte, penalties included."""
     load, health = candidate.load, candidate.health
-    slow = health_module.weigh_slowness(health, peers)
+    slow = health_module.compute_slowness(health, peers)
     if prompt is None:
         slots = max(candidate.entry.slots, 1)
-        busy = load.waiting + load.running + load.others_running
+        busy = load.waiting + load.running + load.peer_running
         busy /= slots
         seconds = PLAIN_WORK_S * (1.0 + busy)
     else:
-        kept = max(candidate.kept, candidate.saved)
+        kept = max(candidate.kept, candidate.stored)
         read = prompts.count_read(prompt, kept)
-        seconds = read / prompts.READ_TOKENS_S + candidate.fetched_s
-        seconds += expect_wait(candidate)
-    # Some routes fail by themselves; only what a target does worse counts.
+        seconds = read / prompts.READ_TOKENS_S + candidate.fetch_s
+        seconds += estimate_wait(candidate)
+    # Some routes have failures of their own, so only failures above the lowest
+    # share among peers count.
     failing = health.failing - peers.failing
     seconds = seconds * slow + failing * FAILING_S
-    seconds += candidate.cold_s * COLD_SHARE + candidate.handicap_s
+    seconds += candidate.cold_s * COLD_SHARE + candidate.penalty_s
     if not candidate.ready:
         seconds += PLAIN_CONNECT_S if prompt is None else CONNECT_S
-    return seconds + (0 if candidate.entry.domain == domain else FAR_S)
+    return seconds + (
+        0 if candidate.entry.domain == domain else CROSS_DOMAIN_S
+    )
 
 
-def expect_wait(candidate):
-    """Give the seconds that a request waits behind others at an engine."""
+def estimate_wait(candidate):
+    """Return the expected seconds of a request behind others at an engine."""
     load = candidate.load
-    waiting = load.waiting_tokens + load.others_tokens
+    waiting = load.waiting_tokens + load.peer_tokens
     seconds = waiting / prompts.READ_TOKENS_S
-    running = load.running + load.others_running
+    running = load.running + load.peer_running
     seconds += running * RUNNING_S
     slots = max(candidate.entry.slots, 1)
-    queued = load.waiting + load.others_waiting
-    # Whoever comes now waits until runs end and give back their places, or
-    # their memory.
+    queued = load.waiting + load.peer_waiting
+    # With all slots taken, a new request waits until runs finish and free
+    # their slots or memory.
     if running + queued >= slots:
         seconds += (running + queued - slots + 1) / slots * RUN_S
-    return seconds + candidate.weight * expect_memory(candidate)
+    return seconds + candidate.weight * estimate_memory_wait(candidate)
 
 
-def expect_memory(candidate):
-    """Give the seconds that a request waits for memory, as expected."""
+def estimate_memory_wait(candidate):
+    """Return the expected seconds that a request waits for memory."""
     load, capacity = candidate.load, candidate.capacity
-    over = load.held_tokens + load.others_held - capacity * MEMORY_SHARE
+    over = load.held_tokens + load.peer_held - capacity * MEMORY_SHARE
     if not capacity or over <= 0:
         return 0.0
     return over / capacity * RUN_S
 
 
-def measure_held(candidates):
-    """Measure the memory that requests hold at all candidates.
+def measure_memory(candidates):
+    """Return the memory that requests hold at all candidates.
 
     Returns
     -------
-    Held
+    HeldMemory
     """
-    tokens = sum(c.load.held_tokens + c.load.others_held for c in candidates)
-    taken, _ = count_taken(candidates)
+    tokens = sum(c.load.held_tokens + c.load.peer_held for c in candidates)
+    taken, _ = count_occupancy(candidates)
     capacity = sum(c.capacity for c in candidates)
     if not capacity or not taken:
-        return Held(0.0, 0.0)
-    return Held(tokens / capacity, tokens / taken)
+        return HeldMemory(0.0, 0.0)
+    return HeldMemory(tokens / capacity, tokens / taken)
 
 
-def weigh_memory(tokens, held):
-    """Give the share of a wait for memory that a request bears.
+def compute_memory_weight(tokens, held):
+    """Return the share of the wait for memory that applies to a request.
 
-    A small request finds room where a large one waits, and its own going
-    gives little back.  With 64 places an engine, half of them taken, requests
-    of under 6,000 tokens for which 0.3 to 0.5 s were expected waited as long
-    as those for which 0.02 s was: 0.03 s in the median, and 0.26 s in the
-    slowest tenth (3,200 requests of one day).
+    A small request fits in where a large one waits, and frees little when it
+    finishes.  With 64 slots an engine, half of them taken, requests of under
+    6,000 tokens with an expected wait of 0.3 to 0.5 s waited as long as those
+    with 0.02 s: 0.03 s in the median, and 0.26 s in the slowest tenth of 3,200
+    requests.
 
     Parameters
     ----------
     tokens : int
-        That it holds in the end.
-    held : Held
+        That the request holds when it finishes.
+    held : HeldMemory
 
-    >>> weigh_memory(900, Held(0.9, 4500.0)), weigh_memory(9e3, Held(1, 4.5e3))
-    (0.04, 1.0)
+    >>> compute_memory_weight(900, HeldMemory(0.9, 4500.0))
+    0.04
+    >>> compute_memory_weight(9e3, HeldMemory(1, 4.5e3))
+    1.0
     """
     if not held.mean:
         return 1.0
@@ -291,78 +300,80 @@
 
 
 def measure_pressure(candidates):
-    """Give the requests at all candidates, by the places that they have.
+    """Return the requests at all candidates, divided by their slots.
 
     >>> import collections
     >>> entry = collections.namedtuple('Entry', 'slots')(4)
-    >>> load = Load(running=2, others_waiting=1.0)
+    >>> load = Load(running=2, peer_waiting=1.0)
     >>> measure_pressure([Candidate(entry, load, None)] * 2)
     0.75
     """
-    taken, places = count_taken(candidates)
-    return taken / places if places else 0.0
+    taken, slots = count_occupancy(candidates)
+    return taken / slots if slots else 0.0
 
 
-def count_taken(candidates):
-    """Count the requests at all candidates, and the places that they have.
+def count_occupancy(candidates):
+    """Return the requests at all candidates, and their slots.
 
-    Those that name limits are left out while there are others: their places
-    can't be filled, and would let these others look half empty.
+    Targets that advertise limits are excluded while there are others: their
+    slots can't be filled, and would make the others look half empty.
     """
-    taken = places = 0
+    taken = slots = 0
     unlimited = [c for c in candidates if not c.limited]
     for candidate in unlimited or candidates:
         load = candidate.load
         taken += load.waiting + load.running
-        taken += load.others_waiting + load.others_running
-        places += max(candidate.entry.slots, 1)
-    return taken, places
+        taken += load.peer_waiting + load.peer_running
+        slots += max(candidate.entry.slots, 1)
+    return taken, slots
 
 
-def narrow(candidates, homes):
-    """Keep the first homes of a prompt, and those with a connection at rest.
+def limit_to_preferred(candidates, ranks):
+    """Return a prompt's preferred targets, and those with idle connections.
 
     Parameters
     ----------
     candidates : sequence of Candidate
-    homes : dict of str to int
-        As rank_homes; empty where all are to be weighed.
+    ranks : dict of str to int
+        As rank_targets; empty if all are candidates.
     """
     return [
-        c for c in candidates if c.ready or homes.get(c.entry.name, 0) < HOMES
+        c
+        for c in candidates
+        if c.ready or ranks.get(c.entry.name, 0) < MAX_PREFERRED
     ]
 
 
-def find_home_step(candidate, prompt):
-    """Give the seconds that one place in the hash order of a prompt counts.
+def compute_rank_penalty(candidate, prompt):
+    """Return the seconds of penalty for each rank in a prompt's hash order.
 
     >>> parts = prompts.Part('a', 11_200), prompts.Part('own', 50)
     >>> prompt = prompts.Prompt('m', 11_250, 5, parts)
-    >>> round(find_home_step(Candidate(None, None, None), prompt), 4)
+    >>> round(compute_rank_penalty(Candidate(None, None, None), prompt), 4)
     0.003
-    >>> stored = Candidate(None, None, None, saved=11_200)
-    >>> find_home_step(stored, prompt)
+    >>> stored = Candidate(None, None, None, stored=11_200)
+    >>> compute_rank_penalty(stored, prompt)
     0.0
     """
     if prompt is None:
         return 0.0
     shared = sum(part.tokens for part in prompts.list_shared(prompt))
-    unsaved = max(shared - candidate.saved, 0)
-    return unsaved / prompts.READ_TOKENS_S * HOME_SHARE
+    unsaved = max(shared - candidate.stored, 0)
+    return unsaved / prompts.READ_TOKENS_S * AFFINITY_SHARE
 
 
-def rank_homes(prompt, candidates):
-    """Give the place of each target in the hash order of the prompt."""
+def rank_targets(prompt, candidates):
+    """Return the rank of each target in the hash order of the prompt."""
     if prompt is None or len(prompt.parts) < 2:
         return {}
     subject = prompt.parts[-2].name
     names = tuple(sorted(c.entry.name for c in candidates))
     ranked = ownership.rank(subject, names)
-    return {name: place for place, name in enumerate(ranked)}
+    return {name: rank for rank, name in enumerate(ranked)}
 
 
 def pick_trial(scored):
-    """Pick a target that has been failing or slow, to learn of recovery."""
+    """Return the best target that was failing or slow, as a trial of it."""
     doubtful = [
         row
         for row in scored
--- a/landingspool/decisions/gateway/fleet.py
+++ b/landingspool/decisions/gateway/fleet.py
@@ -1,28 +1,28 @@
-"""Which targets exist, which of them may get new work, and on what weights.
+"""Tracks which targets exist, which may get new work, and their weights.
 
-Targets say of themselves that they are there.  One may start again under
-the id that it had, and then holds and knows nothing of before.  So what is
-believed of a target belongs to one life of it, its id and when that start
-was: all beliefs are kept under the life's name, a new life begins with none,
-and an older word that comes late names a life that is over.
+Targets announce themselves.  One may restart under its former id, and then
+holds nothing of what it held before.  So all state about a target belongs to
+one incarnation, which is its id and start time: state is stored under the
+incarnation's name, a new incarnation begins with none, and an entry that
+arrives late names an earlier incarnation.
 
-A life that was ever leaving gets no new work again, whatever is read later.
-While the place where targets are listed was away, entries may lapse though
-the target lives: those get a time of grace before they are taken as gone.
+An incarnation that was once draining gets no new work again, whatever is read
+later.  During an outage of the store that lists the targets, entries may lapse
+though their targets live: these get a grace period before they count as gone.
 """
 
 import typing
 
 READY = 'ready'
 DRAINING = 'draining'
-# An entry of a life that is over: a later one of the same id is known.
+# State of an entry of an earlier incarnation: a later one of the id is known.
 OVER = 'over'
 
-# Seconds after the list's return within which a living target is back on
-# it (the users' letter: about two), and less than the two seconds after
-# which nothing new may reach a target that is gone.
+# Seconds after the end of an outage of the store within which a living target
+# is listed again (about two, as operators state), and less than the two
+# seconds after which nothing new may reach a target that is gone.
 GRACE_S = 1.8
-# Between the id and the start in the name of a life; no id holds it.
+# Separates id and start time in the name of an incarnation; not part of ids.
 LIFE_SIGN = '@'
 
 
@@ -32,10 +32,10 @@
     Attributes
     ----------
     target : str
-        Its id, which a later start may have too.
+        Its id, which a later start may share.
     born : int
-        When it started, Unix milliseconds; 0 where it does not tell, and
-        then each start has an id of its own.
+        When it started, Unix milliseconds; 0 if not reported, and then each
+        start has an id of its own.
     """
 
     target: str
@@ -43,7 +43,7 @@
 
     @property
     def name(self):
-        """The name under which all beliefs about this life are kept.
+        """Name under which all state about this incarnation is stored.
 
         >>> Life('t', 1700).name, Life('t').name
         ('t@1700', 't')
@@ -54,7 +54,7 @@
 
 
 def read_life(name):
-    """Give the Life of a name.
+    """Return the Incarnation that a name stands for.
 
     >>> read_life('t@1700'), read_life('t')
     (Life(target='t', born=1700), Life(target='t', born=0))
@@ -64,16 +64,16 @@
 
 
 class Entry(typing.NamedTuple):
-    """What a target says of itself.
+    """What a target announces about itself.
 
     Attributes
     ----------
     name : str
-        Of its life (Life.name).
+        Of its incarnation (Incarnation.name).
     versions : dict of str to int
         The version of the weights that it runs, by model.
     cold_s : float
-        How much longer it is slow from its start.
+        How much longer it is slow after its start, in seconds.
     """
 
     name: str
@@ -87,49 +87,51 @@
 
     @property
     def target(self):
-        """The target's id, by which it knows itself."""
+        """Id of the target, without the start time."""
         return read_life(self.name).target
 
 
 class Fleet:
-    """The targets that a box knows.
+    """Hold the targets that a box knows.
 
     Attributes
     ----------
     entries : dict of str to Entry
-        Those that may get new work, by the name of their life.
+        Those that may get new work, by the name of their incarnation.
     lapsed : dict of str to float
-        Those of `entries` whose time of grace ends then.
+        When the grace period ends, for those of `entries` that have one.
     """
 
     def __init__(self):
         self.entries = {}
         self.lapsed = {}
-        self._lives = {}
+        self._incarnations = {}
         self._drained = set()
         self._versions = {}
 
     def find_life(self, target):
-        """Give the name of the newest life of a target; None: unknown."""
-        life = self._lives.get(target)
-        return life.name if life is not None else None
+        """Return the name of a target's newest incarnation, or None."""
+        incarnation = self._incarnations.get(target)
+        return incarnation.name if incarnation is not None else None
 
     def list_lives(self):
-        """List the names of the newest lives, also of those that are over."""
-        return [life.name for life in self._lives.values()]
+        """Return the names of the newest incarnations, ended ones included."""
+        return [
+            incarnation.name for incarnation in self._incarnations.values()
+        ]
 
     def list_targets(self):
-        """List the ids of the targets that may get new work."""
+        """Return the ids of the targets that may get new work."""
         return [read_life(name).target for name in self.entries]
 
     def put(self, entry):
-        """Take in an entry; returns the state that holds from now on.
+        """Store an entry; return the state that applies from now on.
 
-        A life that was ever leaving stays so.  One that only vanished (it
-        may have been cut off) counts again when it says that it is ready.
-        The entry of an earlier life than is known changes nothing.
+        An incarnation that was once draining stays so.  One that only vanished
+        (it may have been partitioned) is used again when it announces itself
+        as ready. The entry of an earlier incarnation changes nothing.
         """
-        if not self._begin_life(read_life(entry.name)):
+        if not self._begin_incarnation(read_life(entry.name)):
             return OVER
         self.lapsed.pop(entry.name, None)
         if entry.name in self._drained:
@@ -142,43 +144,43 @@
         self.entries[entry.name] = entry
         return READY
 
-    def _begin_life(self, life):
-        """Note a life; tells whether it is the newest of its target."""
-        known = self._lives.get(life.target)
-        if known is not None and life.born < known.born:
+    def _begin_incarnation(self, incarnation):
+        """Record an incarnation; return whether it is its target's newest."""
+        known = self._incarnations.get(incarnation.target)
+        if known is not None and incarnation.born < known.born:
             return False
-        if known is not None and life.born > known.born:
+        if known is not None and incarnation.born > known.born:
             self._remove(known.name)
-        self._lives[life.target] = life
+        self._incarnations[incarnation.target] = incarnation
         return True
 
-    def drop(self, name, now, unsure):
-        """Take in that an entry has gone.
+    def drop(self, name, now, unconfirmed):
+        """Record that an entry has gone.
 
         Parameters
         ----------
-        unsure : bool
-            Whether the list was away shortly before, so that the entry may
-            have lapsed though the target lives.
+        unconfirmed : bool
+            Whether the store was unreachable shortly before, so that the entry
+            may have lapsed though the target lives.
         """
         if name not in self.entries:
             return
-        if unsure:
+        if unconfirmed:
             self.lapsed.setdefault(name, now + GRACE_S)
         else:
             self._remove(name)
 
     def drain(self, name):
-        """Mark a life as leaving, for ever."""
+        """Mark an incarnation as draining, permanently."""
         self._drained.add(name)
         self._remove(name)
 
     def exclude_stall(self, seconds):
-        """Leave out seconds for which this box did not run.
+        """Extend the grace periods by the seconds of a stall of this box.
 
         >>> fleet = Fleet()
         >>> _ = fleet.put(Entry('t', 's', (), 'd', READY, 1, {}))
-        >>> fleet.drop('t', 1.0, unsure=True)
+        >>> fleet.drop('t', 1.0, unconfirmed=True)
         >>> fleet.exclude_stall(6.0)
         >>> fleet.tick(8.0), fleet.tick(9.0)
         ([], ['t'])
@@ -187,28 +189,28 @@
             self.lapsed[name] += seconds
 
     def tick(self, now):
-        """Drop the entries whose time of grace is over; returns them."""
-        over = [name for name, until in self.lapsed.items() if now >= until]
-        for name in over:
+        """Drop the entries whose grace period expired; return their names."""
+        expired = [name for name, until in self.lapsed.items() if now >= until]
+        for name in expired:
             self._remove(name)
-        return over
+        return expired
 
     def list_service(self, service):
-        """List the entries of a service that may get new work.
+        """Return the entries of a service that may get new work.
 
-        Those in their time of grace are left out while others are there.
+        Those in their grace period are excluded while there are others.
         """
         known = [e for e in self.entries.values() if e.service == service]
-        sure = [e for e in known if e.name not in self.lapsed]
-        return sure or known
+        confirmed = [e for e in known if e.name not in self.lapsed]
+        return confirmed or known
 
     def list_model(self, model, services):
-        """List the entries of the targets that have a model.
+        """Return the entries of the targets that have a model.
 
         Parameters
         ----------
         services : collection of str
-            Those that are known: who names another one is no target.
+            The known services: an entry that names another one is no target.
         """
         return [
             entry
@@ -217,13 +219,13 @@
         ]
 
     def get_version(self, name, model):
-        """Give the version of `model` that a target is believed to run."""
+        """Return the version of `model` that a target is assumed to run."""
         return self._versions.get((name, model))
 
     def record_version(self, name, model, version):
-        """Note the version that a target told."""
+        """Record the version that a target reported."""
         known = self._versions.get((name, model), 0)
-        # Versions only rise; an older word may come late.
+        # Versions only rise; an older report may arrive late.
         self._versions[(name, model)] = max(known, version)
 
     def _remove(self, name):
--- a/landingspool/decisions/gateway/freshness.py
+++ b/landingspool/decisions/gateway/freshness.py
@@ -1,21 +1,20 @@
-"""How old the newest proof is that no later configuration was published.
+"""Tracks until when this box is known to have the newest configuration.
 
-A read of the platform's store proves, for the moment at which it was sent,
-that all published before is known here.  A peer's proof counts with its
-age.  Requests with a key are only sent on while the proof is young enough:
-a key that was taken away is then refused everywhere within the bound.  A
-deployment that would rather be served than have that bound kept says so:
-any proof then does, however old (a store that was away for 8 s cost 0.24 of
-a day's worth before: 0.56 with the bound, 0.80 without, one seed).
+A read of the platform's store proves that everything published before the read
+was sent is known here.  A peer's proof counts with its age.  Requests with a
+key are only sent while the proof is young enough: so a revoked key is refused
+everywhere within the bound.  A deployment may prefer availability to that
+bound: then any proof is enough, however old.  With the bound an outage of the
+store for 8 s cost 0.24 of the value that requests earn (0.56 instead of 0.80).
 """
 
 import math
 
-# Time between the check and the first byte that reaches a target, seconds:
-# the loop's turn and one trip between failure domains, many times over.
+# Seconds between the check and the first byte that reaches a target: a turn of
+# the event loop and one trip between failure domains, many times over.
 MARGIN_S = 0.25
-# What stands in logs and in messages for the age where no proof is known,
-# seconds: both carry plain numbers, and any such age is far over the bound.
+# Age in seconds that logs and messages carry if there is no proof: both carry
+# plain numbers, and any such age is far above the bound.
 UNKNOWN_LOGGED_S = 9999.0
 UNKNOWN_TOLD_S = 9000.0
 
@@ -26,9 +25,9 @@
     Parameters
     ----------
     bound_s : float
-        Greatest age with which keyed requests are served.
+        Greatest age with which requests with a key are served, in seconds.
     fails_closed : bool
-        Whether the bound holds; otherwise any known proof is fresh.
+        Whether the bound applies; otherwise any proof is fresh.
     """
 
     def __init__(self, bound_s, fails_closed=True):
@@ -36,16 +35,16 @@
         self._at = None
 
     def record(self, sent):
-        """Note that a read that was sent at `sent` has been answered."""
+        """Record that a read that was sent at `sent` was answered."""
         if self._at is None or sent > self._at:
             self._at = sent
 
     def age(self, now):
-        """Give the seconds since the proof; infinite where none is known."""
+        """Return the seconds since the proof; infinite if there is none."""
         return math.inf if self._at is None else now - self._at
 
     def age_to_log(self, now):
-        """Give the age as log lines carry it.
+        """Return the age as log lines carry it.
 
         >>> Proof(5.0).age_to_log(1.0)
         9999.0
@@ -53,7 +52,7 @@
         return round(min(self.age(now), UNKNOWN_LOGGED_S), 2)
 
     def age_to_tell(self, now):
-        """Give the age as messages to other boxes carry it.
+        """Return the age as messages to other boxes carry it.
 
         >>> Proof(5.0).age_to_tell(1.0)
         9000.0
@@ -61,7 +60,7 @@
         return min(self.age(now), UNKNOWN_TOLD_S)
 
     def is_fresh(self, now):
-        """Tell whether keyed requests may be sent on.
+        """Return whether requests with a key may be sent.
 
         >>> proof = Proof(5.0)
         >>> proof.is_fresh(1.0)
--- a/landingspool/decisions/gateway/health.py
+++ b/landingspool/decisions/gateway/health.py
@@ -1,33 +1,33 @@
-"""What requests show of a target's health.
+"""Estimates the health of targets from the requests sent to them.
 
-Health answers may be false either way, so a target is judged by what its
-requests do: failures in a row take it out for a growing time, after which
-one request or probe at a time may prove it well again; slowness is weighed
-against its peers.  A request that hears nothing for long counts before its
-end: a silent target must not collect more work while the first ones wait.
+Health checks may be wrong either way, so a target is judged by its requests.
+Failures in a row exclude it for a growing time, after which one request or
+probe at a time may prove its recovery; its slowness is compared with that of
+its peers.  A request without any byte for long counts before it ends: a silent
+target must not get more work while the first requests wait.
 """
 
 import typing
 
-# Failures in a row that take a target out; one failure is ordinary (a
-# route may have a share of failing requests of its own).
+# Failures in a row that exclude a target; a single one is ordinary (a route
+# may have a share of failing requests of its own).
 FAILURES_TO_AVOID = 3
-# Seconds out after the first time, and at most; a crash lasts seconds.
+# Seconds of exclusion, the first time and at most; a crash takes seconds.
 AVOID_S = 0.5
-AVOID_MOST_S = 4.0
+MAX_AVOID_S = 4.0
 # Weight of the newest sample in the moving averages.
 SAMPLE_WEIGHT = 0.15
-# A target is slow that takes so many times the median of its peers.
+# Ratio to the median of its peers from which on a target counts as slow.
 SLOW_RATIO = 2.5
 # Samples that a target needs before its average is compared with others.
-SLOW_LEAST_SAMPLES = 4
-# Seconds that the median counts at least: what was expected is taken off the
-# waits, so the median may be nothing, or less.
-LEAST_MEDIAN_S = 0.005
+MIN_SLOW_SAMPLES = 4
+# Lowest median in seconds: the expected time is subtracted from waits, so the
+# median may be zero or negative.
+MIN_MEDIAN_S = 0.005
 
 
 class Health(typing.NamedTuple):
-    """What is known of one target.
+    """Health of one target.
 
     Attributes
     ----------
@@ -36,10 +36,9 @@
     avoid_until : float
         Monotonic seconds until which it gets no new work.
     avoid_s : float
-        How long it was avoided last.
+        Length of its last exclusion in seconds.
     wait_s : float
-        Moving average of the time to the first byte, less what was
-        expected for the request.
+        Moving average of the seconds to the first byte beyond those expected.
     samples : int
     failing : float
         Moving average of the share of requests that failed.
@@ -54,14 +53,14 @@
 
 
 def record_answer(health, wait_s, failed):
-    """Give the health after an answer.
+    """Return the health after an answer.
 
     Parameters
     ----------
     wait_s : float
-        Seconds to the first byte beyond what was expected.
+        Seconds to the first byte beyond those expected.
     failed : bool
-        Whether it was a failure that another target might not have given.
+        Whether it is a failure that another target might not have returned.
 
     >>> record_answer(Health(failures=2), 0.1, False).failures
     0
@@ -80,7 +79,7 @@
 
 
 def record_loss(health, now, certain=False):
-    """Give the health after a request that got no answer.
+    """Return the health after a request without an answer.
 
     Parameters
     ----------
@@ -99,24 +98,24 @@
         return health
     if now < health.avoid_until:
         return health
-    avoid = min(max(health.avoid_s * 2, AVOID_S), AVOID_MOST_S)
+    avoid = min(max(health.avoid_s * 2, AVOID_S), MAX_AVOID_S)
     return health._replace(avoid_s=avoid, avoid_until=now + avoid)
 
 
 def is_avoided(health, now):
-    """Tell whether the target gets no new work at `now`."""
+    """Return whether the target gets no new work at `now`."""
     return now < health.avoid_until
 
 
 def is_on_trial(health, now):
-    """Tell whether the target was avoided and has not answered since."""
+    """Return whether the target was avoided and has not answered since."""
     return health.avoid_s > 0 and now >= health.avoid_until
 
 
 class Peers(typing.NamedTuple):
-    """What the targets of one service have in common, for comparing them.
+    """Common values of the targets of one service, for comparison.
 
-    `median_s` is None where too little is known; `failing` is the least.
+    `median_s` is None if too little is known; `failing` is the lowest share.
     """
 
     median_s: float | None
@@ -124,18 +123,16 @@
 
 
 def measure_peers(healths):
-    """Measure the Peers that some targets make, one at least."""
-    known = sorted(
-        h.wait_s for h in healths if h.samples >= SLOW_LEAST_SAMPLES
-    )
+    """Return the Peers of a list of healths, which is not empty."""
+    known = sorted(h.wait_s for h in healths if h.samples >= MIN_SLOW_SAMPLES)
     median = None
     if known:
-        median = max(known[(len(known) - 1) // 2], LEAST_MEDIAN_S)
+        median = max(known[(len(known) - 1) // 2], MIN_MEDIAN_S)
     return Peers(median, min(h.failing for h in healths))
 
 
-def weigh_slowness(health, peers):
-    """Give how many times slower than its peers a target is, 1 at least.
+def compute_slowness(health, peers):
+    """Return how many times slower than its peers a target is, at least 1.
 
     Parameters
     ----------
@@ -144,12 +141,12 @@
 
     >>> fast = Health(wait_s=0.1, samples=9)
     >>> peers = measure_peers([fast, fast])
-    >>> weigh_slowness(Health(wait_s=0.8, samples=9), peers)
+    >>> compute_slowness(Health(wait_s=0.8, samples=9), peers)
     8.0
-    >>> weigh_slowness(fast, peers)
+    >>> compute_slowness(fast, peers)
     1.0
     """
-    if health.samples < SLOW_LEAST_SAMPLES or peers.median_s is None:
+    if health.samples < MIN_SLOW_SAMPLES or peers.median_s is None:
         return 1.0
     ratio = health.wait_s / peers.median_s
     return round(ratio, 3) if ratio >= SLOW_RATIO else 1.0
--- a/landingspool/decisions/gateway/homes.py
+++ b/landingspool/decisions/gateway/homes.py
@@ -1,13 +1,13 @@
-"""In which regions a request may run, and its context may be kept.
+"""Regions in which a request may run, and its context may be cached.
 
-A route and a workspace may each name the regions that are their homes; where
-both do, both bind.  Outside of them nothing of a request goes anywhere: not
-to a target, nor its context to a store.
+A route and a workspace may each name allowed regions; if both do, both apply.
+No data of a request leaves them: it is neither sent to a target nor is its
+context written to a store elsewhere.
 """
 
 
 def find_regions(route, tenancy):
-    """Give the regions that a request may use; None: any.
+    """Return the regions that a request may use; None if any.
 
     Parameters
     ----------
@@ -34,17 +34,19 @@
 
 
 def is_home(domain, regions, region_of):
-    """Tell whether a domain is in one of the regions.
+    """Return whether a domain is in one of the regions.
 
     Parameters
     ----------
     regions : frozenset of str or None
-        As find_regions.
+        As get_allowed_regions.
     region_of : dict of str to str
-        The region of each domain; one that is not known is no home.
+        The region of each domain; an unknown domain is not allowed.
 
-    >>> is_home('d', None, {}), is_home('d', frozenset('a'), {})
-    (True, False)
+    >>> is_home('d', None, {})
+    True
+    >>> is_home('d', frozenset('a'), {})
+    False
     >>> is_home('d', frozenset('a'), {'d': 'a'})
     True
     """
--- a/landingspool/decisions/gateway/lateness.py
+++ b/landingspool/decisions/gateway/lateness.py
@@ -1,79 +1,81 @@
-"""How late the targets of a service answer, against what its routes aim at.
-
-What waits at a target is known in part and some tenths of a second late: of
-many boxes each hears some.  How long the newest answers of a box took needs
-no word of others.  Where they take as long as their routes aim at, the
-targets have more than they can do, whatever is believed to wait there, and
-the least urgent requests are told to come back (82 boxes and 30 targets, a
-quarter of these dark for 16 s: worth 0.422 with it, 0.347 and 0.400 without;
-one day).
+"""Tracks the latency of a service's answers relative to route objectives.
+
+The number of requests waiting at a target is known in part and some tenths of
+a second late, since each box receives reports of some of its peers only. The
+latency of a box's own answers needs no report.  If answers take as long as the
+objectives of their routes, the targets are overloaded, whatever is known to
+wait there, and the least urgent requests are refused.  With 82 boxes and 30
+targets, a quarter of them unreachable for 16 s, requests earned 0.422 of their
+value with this rule, and 0.347 and 0.400 without it.
 """
 
 import typing
 
-# Share of the newest answer in the moving average: some five answers, the
-# last two seconds of one box.
+# Weight of the newest answer in the moving average: about five answers count,
+# the last two seconds of one box.
 SAMPLE_WEIGHT = 0.2
-# Times its aim that one answer counts at most: a target that stood still
-# tells nothing of the others.
-MOST_RATIO = 2.0
-# Seconds after the last answer from which the average fades, and in which it
-# fades to half: a box that turns all away has to try again.
+# Highest ratio to the objective that one answer counts: a stalled target tells
+# nothing about the others.
+MAX_RATIO = 2.0
+# Seconds after the last answer from which on the average decays, and its
+# half-life: a box that refuses everything has to try again.
 FADE_S = 1.0
 HALF_LIFE_S = 1.0
 
 
-# Average at which targets count as full: answers take as long as is aimed at.
-# At 0.65 an overload of many boxes passes sooner, but where aims are short two
-# to three times as many were turned away on quiet days (0.013 to 0.025 and
-# 0.038 of the requests), and worth fell by 0.05 there.
+# Average at which targets count as full: answers take as long as the
+# objective.  At 0.65 an overload by many boxes passes sooner, but where
+# objectives are short two to three times as many requests are refused under
+# light load (0.025 and 0.038 instead of 0.013 of the requests).
 FULL_RATIO = 1.0
 
 
 class Average(typing.NamedTuple):
-    """The moving average of times to the first byte, by their aims."""
+    """Moving average of times to the first byte, relative to objectives."""
 
     ratio: float
     at: float
 
 
 class Lateness:
-    """The averages of all services, as one box sees them."""
+    """Moving averages of all services, as one box sees them."""
 
     def __init__(self):
         self._averages = {}
 
-    def record_first(self, service, seconds, aim_s, now):
-        """Note the first byte of an answer.
+    def record_first(self, service, seconds, objective_s, now):
+        """Record the first byte of an answer.
 
         Parameters
         ----------
         seconds : float
             From sending to the first byte.
-        aim_s : float
-            To the first byte that its route aims at.
+        objective_s : float
+            Latency objective of its route.
         """
-        known = self._find_ratio(service, now)
-        ratio = min(seconds / aim_s, MOST_RATIO) if aim_s > 0 else 0.0
+        known = self._get_ratio(service, now)
+        ratio = (
+            min(seconds / objective_s, MAX_RATIO) if objective_s > 0 else 0.0
+        )
         average = known + SAMPLE_WEIGHT * (ratio - known)
         self._averages[service] = Average(average, now)
 
     def measure(self, service, now):
-        """Give how full the targets are; 1: as much as they can do in time.
+        """Return how full the targets are; 1 is the most they serve in time.
 
-        >>> lateness = Lateness()
-        >>> lateness.measure('s', 0.0)
+        >>> tracker = Lateness()
+        >>> tracker.measure('s', 0.0)
         0.0
         >>> for n in range(40):
-        ...     lateness.record_first('s', 1.3, 1.0, n / 10)
-        >>> round(lateness.measure('s', 4.0), 2)
+        ...     tracker.record_first('s', 1.3, 1.0, n / 10)
+        >>> round(tracker.measure('s', 4.0), 2)
         1.3
-        >>> round(lateness.measure('s', 5.9), 2)
+        >>> round(tracker.measure('s', 5.9), 2)
         0.65
         """
-        return self._find_ratio(service, now) / FULL_RATIO
+        return self._get_ratio(service, now) / FULL_RATIO
 
-    def _find_ratio(self, service, now):
+    def _get_ratio(self, service, now):
         known = self._averages.get(service)
         if known is None:
             return 0.0
--- a/landingspool/decisions/gateway/leftovers.py
+++ b/landingspool/decisions/gateway/leftovers.py
@@ -1,35 +1,36 @@
-"""What is of no use any more in stores of kept context, and when to free it.
+"""Finds garbage in the stores of cached context, and when it may be freed.
 
-A store frees nothing by itself, so the parts of replaced weights would fill it
-for ever.  Once every target has newer weights no request can begin on the old
-ones, and what had begun has fetched within the lease of its offer; so parts
-are freed a lease and some seconds after the last target was seen on them.
+A store frees nothing by itself, so that parts of replaced weights would fill
+it.  Once every target has newer weights no request can begin on the old ones,
+and requests that had begun have fetched their parts within the lease of their
+offer; so parts are freed a lease and some seconds after the last target was
+seen on them.
 
-A part whose writer crashed or was cut off keeps its room as well.  Nobody
-can tell it from one that is being written but by its not growing.
+A part whose writer crashed or was disconnected takes up memory as well.  The
+only difference from one that is being written is that it doesn't grow.
 """
 
 from landingspool.decisions.gateway import warmth as warmth_module
 
 # Seconds after all targets were first seen on newer weights: the lease of the
-# last offers, and the time for which a box may not have heard yet.
+# last offers, and the time within which all boxes have received the change.
 FREE_AFTER_S = warmth_module.LEASE_S + 2.0
-# Seconds for which a part that is not whole has to stay as it is before it
-# is freed: a write takes tenths of a second, and seconds over slow links.
+# Seconds for which an incomplete part has to be unchanged before it is freed:
+# a write takes tenths of a second, and seconds over slow links.
 BROKEN_S = 5.0
 # Parts freed by one call: some ten kilobytes, over links of 5 Mbit/s.
-MOST_PARTS = 1000
-# Seconds within which a call for it has to arrive.
+MAX_PARTS = 1000
+# Seconds within which a call that frees parts has to arrive.
 ARRIVE_S = 1.0
 
 
 def find_least(model, fleet, services):
-    """Give the oldest version that any target of a model has, or None.
+    """Return the oldest version that any target of a model has, or None.
 
     Parameters
     ----------
     services : collection of str
-        Those that are known.
+        The known services.
     """
     versions = [
         fleet.get_version(entry.name, model) or 0
@@ -38,73 +39,75 @@
     return min(versions, default=None)
 
 
-def is_old(space, model, least):
-    """Tell whether a namespace is that of weights before a version.
+def is_stale(space, model, oldest):
+    """Return whether a namespace belongs to weights before a version.
 
-    >>> is_old('m.1', 'm', 2), is_old('m.1.wall', 'm', 2)
+    >>> is_stale('m.1', 'm', 2), is_stale('m.1.wall', 'm', 2)
     (True, True)
-    >>> is_old('m.2', 'm', 2), is_old('m.10', 'm', 2), is_old('mm.1', 'm', 2)
-    (False, False, False)
+    >>> is_stale('m.2', 'm', 2), is_stale('m.10', 'm', 2)
+    (False, False)
+    >>> is_stale('mm.1', 'm', 2)
+    False
     """
     head, _, rest = space.partition(f'{model}.')
     version = rest.split('.')[0]
-    return not head and version.isdecimal() and int(version) < least
+    return not head and version.isdecimal() and int(version) < oldest
 
 
 class Leftovers:
-    """Knows since when which weights are the oldest in use."""
+    """Track since when each model's oldest version is in use."""
 
     def __init__(self):
-        self._least = {}
+        self._oldest = {}
 
-    def record(self, model, least, now):
-        """Note the oldest version in use of a model.
+    def record(self, model, oldest, now):
+        """Record the oldest version in use of a model.
 
         Returns
         -------
         int or None
-            The version before which all may be freed now.
+            The version before which all parts may be freed now.
 
-        >>> leftovers = Leftovers()
-        >>> leftovers.record('m', 2, 10.0)
-        >>> leftovers.record('m', 2, 20.0)
+        >>> versions = Leftovers()
+        >>> versions.record('m', 2, 10.0)
+        >>> versions.record('m', 2, 20.0)
         2
-        >>> leftovers.record('m', 1, 20.1)
+        >>> versions.record('m', 1, 20.1)
         """
-        known = self._least.get(model)
-        if known is None or known[0] != least:
-            self._least[model] = least, now
+        known = self._oldest.get(model)
+        if known is None or known[0] != oldest:
+            self._oldest[model] = oldest, now
             return None
-        return least if now - known[1] >= FREE_AFTER_S else None
+        return oldest if now - known[1] >= FREE_AFTER_S else None
 
 
-def list_old(kept, model, least):
-    """List the (namespace, part name) that are kept of old weights.
+def list_old(kept, model, oldest):
+    """Return the (namespace, part name) of cached parts of old weights.
 
     Parameters
     ----------
-    kept : dict of tuple to int
-        As in warmth.Index.
+    cached : dict of tuple to int
+        As in context_index.CacheContents.
 
     >>> list_old({('m.1', 'a'): 5, ('m.2', 'a'): 5}, 'm', 2)
     [('m.1', 'a')]
     """
-    old = [key for key in kept if is_old(key[0], model, least)]
-    return old[:MOST_PARTS]
+    stale = [key for key in kept if is_stale(key[0], model, oldest)]
+    return stale[:MAX_PARTS]
 
 
 class Broken:
-    """Knows since when the unwhole parts of each store have not grown."""
+    """Track since when the incomplete parts of each store are unchanged."""
 
     def __init__(self):
         self._since = {}
 
     def record(self, store, index, now):
-        """Note the unwhole parts of a list that has just been read.
+        """Record the incomplete parts of a list that was just read.
 
         Parameters
         ----------
-        index : warmth.Index
+        index : context_index.CacheContents
             With that list in it.
 
         Returns
@@ -113,7 +116,9 @@
             The (namespace, part name) that may be freed now.
 
         >>> row = warmth_module.Unwhole('s', 'a', 100, 800)
-        >>> index = warmth_module.Index(1, 0, {}, 0, 0, unwhole=(row,))
+        >>> index = warmth_module.Index(
+        ...     1, 0, {}, 0, 0, unwhole=(row,)
+        ... )
         >>> broken = Broken()
         >>> broken.record('k', index, 10.0)
         []
--- a/landingspool/decisions/gateway/loads.py
+++ b/landingspool/decisions/gateway/loads.py
@@ -1,7 +1,7 @@
-"""What requests this box has at each target.
+"""Tracks the requests that this box has at each target.
 
-A box knows its own requests from their sending to their end, and tells the
-others of them in its digests; the wait at a target is estimated from both.
+A box knows its own requests from their sending to their end, and reports them
+to other boxes in its digests; the wait at a target is estimated from both.
 """
 
 import typing
@@ -12,8 +12,8 @@
 class Sent(typing.NamedTuple):
     """A request of this box at a target; `begun` once bytes came back.
 
-    `tokens` are to be read, `held` is the memory that it takes in the end,
-    in tokens.
+    `tokens` are the prompt tokens to be read, `held` is the memory that the
+    request takes when it finishes, in tokens.
     """
 
     at: float
@@ -23,14 +23,14 @@
 
 
 class Loads:
-    """The requests of one box, by target and by their own name."""
+    """Hold the requests of one box, by target and request name."""
 
     def __init__(self):
         self._sent = {}
-        self._heard = {}
+        self._last_bytes = {}
 
     def record_sent(self, target, request, sent):
-        """Note that a request went to a target.
+        """Record that a request was sent to a target.
 
         Parameters
         ----------
@@ -39,12 +39,12 @@
         self._sent.setdefault(target, {})[request] = sent
 
     def record_first(self, target, request):
-        """Note that bytes of an answer came.
+        """Record that bytes of an answer arrived.
 
         Returns
         -------
         Sent or None
-            The request, if they are the first.
+            The request, if these bytes are the first.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
@@ -60,7 +60,7 @@
         return sent
 
     def record_end(self, target, request):
-        """Note that a request is no longer at a target."""
+        """Record that a request is no longer at a target."""
         at_target = self._sent.get(target)
         if at_target is None:
             return
@@ -69,11 +69,11 @@
             del self._sent[target]
 
     def record_heard(self, target, now):
-        """Note that a target sent something."""
-        self._heard[target] = now
+        """Record that a target sent some bytes."""
+        self._last_bytes[target] = now
 
     def exclude_stall(self, seconds):
-        """Leave out seconds for which this box did not run.
+        """Shift all times by the seconds of a stall of this box.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
@@ -84,45 +84,45 @@
         for rows in self._sent.values():
             for request, sent in rows.items():
                 rows[request] = sent._replace(at=sent.at + seconds)
-        for target in self._heard:
-            self._heard[target] += seconds
+        for target in self._last_bytes:
+            self._last_bytes[target] += seconds
 
     def forget(self, target):
-        """Forget when a target that has gone was last heard."""
-        self._heard.pop(target, None)
+        """Discard the time of the last byte from a target that is gone."""
+        self._last_bytes.pop(target, None)
 
-    def measure(self, target, others):
-        """Give the choice.Load at a target.
+    def measure(self, target, peer_load):
+        """Return the choice.Load at a target.
 
         Parameters
         ----------
-        others : tuple of float
-            What other boxes have there, as neighbours.Neighbours.get_load.
+        peer_load : tuple of float
+            Requests of other boxes there, as neighbours.Neighbours.get_load.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
         >>> load = loads.measure('t', (9.0, 2.0, 0.0, 1.0))
-        >>> load.waiting, load.waiting_tokens, load.others_running
+        >>> load.waiting, load.waiting_tokens, load.peer_running
         (1, 500, 2.0)
         """
         rows = self._sent.get(target, {}).values()
         waiting = [row for row in rows if not row.begun]
-        tokens, running, held, queued = others
+        tokens, running, held, queued = peer_load
         return choice.Load(
             waiting=len(waiting),
             running=len(rows) - len(waiting),
             waiting_tokens=sum(row.tokens for row in waiting),
             oldest=min((row.at for row in waiting), default=None),
-            heard=self._heard.get(target, 0.0),
-            others_tokens=tokens,
-            others_running=running,
+            last_byte=self._last_bytes.get(target, 0.0),
+            peer_tokens=tokens,
+            peer_running=running,
             held_tokens=sum(row.held for row in rows),
-            others_held=held,
-            others_waiting=queued,
+            peer_held=held,
+            peer_waiting=queued,
         )
 
     def count(self, target):
-        """Count this box's requests at a target: waiting, and begun.
+        """Return this box's requests at a target: waiting, and begun.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
@@ -134,7 +134,7 @@
         return waiting, len(rows) - waiting
 
     def list_told(self):
-        """Give what this box has at each target, as in neighbours.Digest.
+        """Return this box's requests at each target, as in neighbours.Digest.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
@@ -142,10 +142,10 @@
         >>> loads.list_told()
         {'t': [500, 1, 900, 1]}
         """
-        told = {}
+        reported = {}
         for target, rows in self._sent.items():
             waiting = [row.tokens for row in rows.values() if not row.begun]
             held = sum(row.held for row in rows.values())
             count = len(waiting)
-            told[target] = [sum(waiting), len(rows) - count, held, count]
-        return told
+            reported[target] = [sum(waiting), len(rows) - count, held, count]
+        return reported
--- a/landingspool/decisions/gateway/partition.py
+++ b/landingspool/decisions/gateway/partition.py
@@ -1,16 +1,16 @@
-"""Which engines read long prompts, and which are kept free of them.
-
-An engine reads prompts in the order of their coming, whatever their
-urgency: a question of some hundred tokens that comes behind three long
-prompts is late by itself.  What other boxes have sent is known too late to
-avoid that, since reading one long prompt takes no longer than hearing of it.
-So engines are parted by the size of what they read, in the measure in which
-tokens of long and of short readings come: then both kinds find engines that
-are as busy as before, but short readings wait behind short ones alone.
-
-That holds where reading is what engines lack.  Where they lack places or
-memory, runs count and not readings, and a part of the engines is soon full:
-so engines are parted only while few of their places, and not too much of
+"""Splits the engines of a service between long and short prompts.
+
+An engine reads prompts in the order of arrival, whatever their urgency: a
+short prompt of some hundred tokens that arrives behind three long ones misses
+its latency objective.  Reports of other boxes arrive too late to avoid that,
+since reading one long prompt takes no longer than receiving a report.  So
+engines are split in proportion to the tokens of long and of short prompts to
+be read: both kinds find engines that are as busy as before, but short prompts
+wait behind short ones only.
+
+That applies while reading is the bottleneck.  If slots or memory are, the
+number of runs counts and not what is read, and one of the two groups fills up
+early: so engines are split only while few of their slots, and not too much of
 their memory, are taken.
 
 Source: Harchol-Balter, Crovella and Murta, "On choosing a task assignment
@@ -21,47 +21,50 @@
 
 from landingspool.decisions import ownership
 
-# Tokens to be read from which on a reading is long: 0.05 s of an engine that
-# reads 90 tokens in a ms, an eighth of the shortest aims.  Where prompts of
-# 9,000 shared tokens meet questions of 800, these are a sixth of the requests
-# and two thirds of the tokens read (71 boxes and 30 engines, a played day).
+# Tokens to be read from which on a prompt is long: 0.05 s of an engine that
+# reads 90 tokens in a ms, an eighth of the shortest latency objectives.  With
+# prompts of 9,000 shared tokens and short ones of 800, the long ones are a
+# sixth of the requests and two thirds of the tokens read (71 boxes and 30
+# engines).
 LONG_TOKENS = 4000
-# Seconds in which what was noted counts half: some hundred requests of one
-# box of seventy, and less than the time in which a mix of requests changes.
+# Half-life of the counted tokens in seconds: some hundred requests of one box
+# of seventy, and less than the time in which a mix of requests changes.
 HALF_LIFE_S = 10.0
-# Tokens that have to be noted before engines are parted: some four requests.
-LEAST_TOKENS = 10_000
-# Engines that a service needs to be parted.
-LEAST_ENGINES = 4
-# Free places of an engine, in standard deviations of how many chance takes
-# beside the mean, under which engines are not parted any more, and from which
-# on they are again.  195 boxes and 50 engines of 12 places each, of which 0.55
-# are taken (2.1): 0.932 of the requests in time with parted engines, 0.973
-# without.  71 boxes and 30 engines of 64 places, of which 0.25 to 0.54 are
-# taken (12 to 5): 0.991 and 0.988, and 0.877 and 0.843 at the most load
-# (played without a network).
-LEAST_ROOM = 4.5
-ROOM_AGAIN = 5.5
-# Share of the engines' memory that requests hold, from which on engines are
-# not parted any more, and under which they are again: long prompts hold nine
-# tenths of it, and have a part of the engines only.
-MOST_HELD = 0.62
-HELD_AGAIN = 0.54
-# What keeps engines parted, and what lets them be parted anew.
-BOUNDS = {True: (LEAST_ROOM, MOST_HELD), False: (ROOM_AGAIN, HELD_AGAIN)}
-# Times as busy as the others that engines for short readings are: what waits
-# there waits for short ones alone, and the memory of the others is what long
-# prompts need.
-SHORT_BUSY = 1.4
+# Tokens that have to be counted before engines are split: some four requests.
+MIN_TOKENS = 10_000
+# Engines that a service needs to be split.
+MIN_ENGINES = 4
+# Free slots of an engine, in standard deviations of the number taken, below
+# which engines are not split any more, and from which on they are again. With
+# 195 boxes and 50 engines of 12 slots each, 0.55 of them taken (2.1 deviations
+# free), 0.932 of the requests are in time with the split, and 0.973 without.
+# With 71 boxes and 30 engines of 64 slots, 0.25 to 0.54 of them taken (12 to 5
+# deviations), it is 0.991 with and 0.988 without, and 0.877 and 0.843 at the
+# highest load.  The figures exclude network delays.
+MIN_HEADROOM = 4.5
+RESUME_HEADROOM = 5.5
+# Share of the engines' memory held by requests from which on engines are not
+# split any more, and below which they are again: long prompts hold nine tenths
+# of it, and have only a part of the engines.
+MAX_HELD = 0.62
+RESUME_HELD = 0.54
+# Bounds of headroom and held memory, by whether the engines are split now.
+BOUNDS = {
+    True: (MIN_HEADROOM, MAX_HELD),
+    False: (RESUME_HEADROOM, RESUME_HELD),
+}
+# Load of engines for short prompts relative to that of the others: requests
+# there wait for short ones only, and long prompts need the others' memory.
+SHORT_LOAD_RATIO = 1.4
 
 
 class Partition:
-    """The tokens that come in long and in short readings, as a box sees.
+    """Count the tokens of long and short prompts that one box sees.
 
     Attributes
     ----------
     is_on : bool
-        Whether engines have the room to be parted.
+        Whether engines have the headroom to be split.
     """
 
     def __init__(self):
@@ -71,53 +74,53 @@
         self.is_on = True
 
     def record(self, read_tokens, now):
-        """Note a request by the tokens that stores do not hold."""
-        faded = 0.5 ** (max(now - self._at, 0.0) / HALF_LIFE_S)
-        self._long *= faded
-        self._short *= faded
+        """Record a request by the prompt tokens that stores do not hold."""
+        decay = 0.5 ** (max(now - self._at, 0.0) / HALF_LIFE_S)
+        self._long *= decay
+        self._short *= decay
         self._at = now
         if is_long(read_tokens):
             self._long += read_tokens
         else:
             self._short += read_tokens
 
-    def record_room(self, room, held):
-        """Note the room that engines have.
+    def record_headroom(self, headroom, held):
+        """Record the headroom of the engines.
 
         Parameters
         ----------
-        room : float
-            As measure_room.
+        headroom : float
+            As measure_headroom.
         held : float
             Share of their memory that requests hold.
         """
-        least, most = BOUNDS[self.is_on]
-        self.is_on = room >= least and held < most
+        min_headroom, max_held = BOUNDS[self.is_on]
+        self.is_on = headroom >= min_headroom and held < max_held
 
-    def find_share(self):
-        """Give the share of tokens in long readings; None: too few known.
+    def compute_long_share(self):
+        """Return the share of tokens in long prompts; None if too few counted.
 
-        >>> partition = Partition()
-        >>> partition.record(40_000, 1.0)
-        >>> partition.record(1_000, 1.0)
-        >>> round(partition.find_share(), 2)
+        >>> split = Partition()
+        >>> split.record(40_000, 1.0)
+        >>> split.record(1_000, 1.0)
+        >>> round(split.compute_long_share(), 2)
         0.98
         """
         total = self._long + self._short
-        return self._long / total if total >= LEAST_TOKENS else None
+        return self._long / total if total >= MIN_TOKENS else None
 
     def pick(self, read_tokens, entries):
-        """Give the names of the engines for a reading; None: all of them.
+        """Return the names of the engines for a prompt; None if all.
 
         Parameters
         ----------
         entries : sequence of fleet.Entry
         """
-        share = self.find_share()
-        if share is None or not self.is_on or len(entries) < LEAST_ENGINES:
+        share = self.compute_long_share()
+        if share is None or not self.is_on or len(entries) < MIN_ENGINES:
             return None
-        order = order_engines(tuple((e.domain, e.name) for e in entries))
-        short = (1.0 - share) / SHORT_BUSY
+        order = rank_engines(tuple((e.domain, e.name) for e in entries))
+        short = (1.0 - share) / SHORT_LOAD_RATIO
         count = min(max(round((1.0 - short) * len(order)), 1), len(order) - 1)
         if is_long(read_tokens):
             return frozenset(order[:count])
@@ -125,42 +128,42 @@
 
 
 def is_long(read_tokens):
-    """Tell whether a reading is long."""
+    """Return whether a prompt with that many tokens to be read is long."""
     return read_tokens >= LONG_TOKENS
 
 
-def measure_room(taken, places, engines):
-    """Give the free places of an engine, in deviations of those taken.
+def measure_headroom(taken, slots, engines):
+    """Return the free slots of an engine, in deviations of those taken.
 
     Parameters
     ----------
     taken : float
         Requests at all engines.
-    places : int
+    slots : int
         Of all engines.
     engines : int
 
-    >>> round(measure_room(328, 600, 50), 1), measure_room(32, 128, 2)
+    >>> round(measure_headroom(328, 600, 50), 1), measure_headroom(32, 128, 2)
     (2.1, 12.0)
     """
     mean = taken / engines
-    return (places / engines - mean) / math.sqrt(max(mean, 1.0))
+    return (slots / engines - mean) / math.sqrt(max(mean, 1.0))
 
 
-def order_engines(places):
-    """Order engines alike on all boxes, so that each domain has its share.
+def rank_engines(engines):
+    """Return engines in one order for all boxes, balanced over domains.
 
     Parameters
     ----------
-    places : tuple of tuple of str
+    engines : tuple of tuple of str
         Domain and name of each engine.
 
-    >>> order = order_engines((('d', 'a'), ('d', 'b'), ('e', 'c')))
+    >>> order = rank_engines((('d', 'a'), ('d', 'b'), ('e', 'c')))
     >>> sorted(order[:2]) in (['a', 'c'], ['b', 'c'])
     True
     """
     by_domain = {}
-    for domain, name in places:
+    for domain, name in engines:
         by_domain.setdefault(domain, []).append(name)
     ranked = [
         ownership.rank('long', tuple(sorted(by_domain[domain])))
@@ -168,6 +171,6 @@
     ]
     rows = []
     for names in ranked:
-        rows += [(place, name) for place, name in enumerate(names)]
+        rows += [(rank, name) for rank, name in enumerate(names)]
     rows.sort(key=lambda row: (row[0], ownership.score('long', row[1])))
     return [name for _, name in rows]
--- a/landingspool/decisions/gateway/plans.py
+++ b/landingspool/decisions/gateway/plans.py
@@ -1,4 +1,4 @@
-"""A request as the decisions see it, and where it is to go."""
+"""Records of a request as decisions see it, and of its planned target."""
 
 import typing
 
@@ -20,32 +20,33 @@
 
 
 class Plan(typing.NamedTuple):
-    """Where a request goes, with what decided it.
+    """The target of a request, with the values that decided it.
 
     Attributes
     ----------
     entry : fleet.Entry
     expected_s : float
-        Rank of the target: the expected seconds to its first byte.
+        Rank of the target: the expected seconds to its first byte, with
+        penalties.
     wait_s : float
-        The part of it that is spent behind other requests.
-    kept : int
-        Tokens of the prompt believed to be kept there.
+        Seconds of these that are spent behind other requests.
+    cached : int
+        Tokens of the prompt that the target is assumed to have cached.
     read_tokens : int
         Prompt tokens that the target has to read.
     candidates : int
-        Targets that might have been chosen.
+        Targets among which the choice was made.
     version : int or None
-        Of the weights that the request needs; None: whichever is there.
+        Of the weights that the request needs; None if any will do.
     space : str
-        Namespace of its kept context; empty where it has no prompt.
+        Namespace of its cached context; empty if it has no prompt.
     transfer : transfers.Transfer
     pressure : float
-        How short targets are: the requests at all candidates by the places
-        that these have, or how late they answer, by what is aimed at.
+        The higher of two ratios: requests at all candidates to their slots,
+        and the latency of answers to the objectives.
     is_scarce : bool
-        Whether all targets that it might go to name limits.
-    held : choice.Held
+        Whether all targets that the request might go to advertise limits.
+    held : choice.HeldMemory
         Memory that requests hold at all candidates.
     """
 
@@ -59,18 +60,18 @@
     space: str
     transfer: transfers.Transfer
     pressure: float = 0.0
-    held: choice.Held = choice.Held(0.0, 0.0)
+    held: choice.HeldMemory = choice.HeldMemory(0.0, 0.0)
     is_scarce: bool = False
 
 
 def count_held(work):
-    """Count the tokens of memory that a request takes in the end."""
+    """Return the tokens of memory that a request takes when it finishes."""
     return work.prompt.tokens_in + work.prompt.tokens_out
 
 
 def weigh_candidates(candidates, work, held):
-    """Let a request bear a wait for memory as far as it needs memory."""
+    """Weight the wait for memory by the memory that a request needs."""
     if work.prompt is None:
         return candidates
-    weight = choice.weigh_memory(count_held(work), held)
+    weight = choice.compute_memory_weight(count_held(work), held)
     return [c._replace(weight=weight) for c in candidates]
--- a/landingspool/decisions/gateway/prompts.py
+++ b/landingspool/decisions/gateway/prompts.py
@@ -1,16 +1,17 @@
-"""Prompts as chains of named parts, and the names under which they are kept.
+"""Prompts as chains of named parts, and namespaces of their cached context.
 
-Parts are shared between requests; the last one belongs to the request or
-its session.  A target finds kept context only under the exact namespace
-that a request names, so weights and walls are put into that name: context
-of another version or of an isolated workspace can't be found.
+Parts are shared between requests; the last one belongs to the request or its
+session.  A target finds cached context only under the exact namespace that a
+request names.  The namespace contains the version of the weights and, for an
+isolated workspace, its name: context of another version or of an isolated
+workspace can't be found.
 """
 
 import typing
 
-# Prompt tokens that a target is taken to read in a second.  Known engines read
-# 48 and 112 in a millisecond; a rate learnt from their answers (47) chose no
-# better: worth -0.008 +- 0.007 over eleven days of the slower ones.
+# Prompt tokens that a target is assumed to read in a second.  Known engines
+# read 48 and 112 in a millisecond; a rate estimated from answers (47 in a
+# millisecond) gives no better choices.
 READ_TOKENS_S = 112_000.0
 
 
@@ -22,15 +23,15 @@
 
 
 class Prompt(typing.NamedTuple):
-    """What a request tells of its prompt.
+    """What a request reports of its prompt.
 
     Attributes
     ----------
     model : str
     tokens_in, tokens_out : int
-        `tokens_out` is the most that it may generate.
+        `tokens_out` is the highest number that it may generate.
     parts : tuple of Part
-        In order; the last one is its own.
+        In order; the last one is not shared.
     """
 
     model: str
@@ -39,31 +40,31 @@
     parts: tuple = ()
 
 
-def name_space(model, version, tenancy):
-    """Give the namespace of kept context for one request.
+def build_namespace(model, version, tenancy):
+    """Return the namespace of cached context for one request.
 
-    >>> name_space('m', 3, None)
+    >>> build_namespace('m', 3, None)
     'm.3'
     """
     isolated = tenancy is not None and tenancy.isolated
-    wall = f'.{tenancy.name}' if isolated else ''
-    return f'{model}.{version}{wall}'
+    suffix = f'.{tenancy.name}' if isolated else ''
+    return f'{model}.{version}{suffix}'
 
 
 def list_shared(prompt):
-    """List the parts that other requests may read again."""
+    """Return the parts that other requests may read again."""
     return prompt.parts[:-1]
 
 
 def count_kept(prompt, space, kept):
-    """Count the leading tokens that `kept` holds whole.
+    """Return the number of leading tokens that `cached` covers.
 
-    A part helps only if every part before it is there too.
+    A part helps only if every part before it is complete.
 
     Parameters
     ----------
     space : str
-    kept : dict of tuple to int
+    cached : dict of tuple to int
         Tokens by (namespace, part name).
 
     >>> prompt = Prompt('m', 30, 5, (Part('a', 10), Part('b', 20)))
@@ -82,5 +83,5 @@
 
 
 def count_read(prompt, kept_tokens):
-    """Count the tokens that a target still has to read."""
+    """Return the number of tokens that a target still has to read."""
     return max(prompt.tokens_in - kept_tokens, 0)
--- a/landingspool/decisions/gateway/rollouts.py
+++ b/landingspool/decisions/gateway/rollouts.py
@@ -1,59 +1,59 @@
-"""Brings targets to a named version of their weights, by fenced orders.
-
-One box at a time holds the right to give orders for a model.  It is taken
-by an append to the platform's store that succeeds only where nobody
-appended in between, and the offset of that append is the fence.  The lease
-has no clock of the store behind it: a box that sees somebody else's claim
-waits until that claim has not changed for the whole lease plus the time for
-which an order may be under way.
+"""Plans rollouts: brings targets to a published version by fenced load orders.
+
+One box at a time holds the lease to give orders for a model.  It claims the
+lease by an append to the platform's store that succeeds only if nothing was
+appended since its last read, and the offset of that append is the fence.  The
+store has no clock for the lease: a box that sees another box's claim waits
+until that claim has not changed for the whole lease plus the time for which an
+order may be under way.
 """
 
 import typing
 
-# Seconds over the lease by which a foreign claim has to be old before it is
-# taken over.  An order of the old holder may be under way longer, but the
-# target refuses it for its lower fence.
+# Seconds beyond the lease by which another box's claim has to be old before it
+# is taken over.  An order of the former holder may be under way for longer,
+# but the target refuses it for its lower fence.
 TAKEOVER_S = 0.4
 # Seconds before the lease's end at which its holder gives no more orders.
-END_S = 0.5
-# Seconds between the tries of two boxes to take a right that nobody holds, in
-# the hash order of all boxes: longer than it takes until all have heard of a
-# claim (an append of some ms, and two held reads).  Without turns each of 195
-# boxes appended for each named version, and all but one in vain.  At most so
-# long: many boxes may be cut off from the store.
-TURN_S = 0.15
-MOST_TURN_S = 2.0
-# Share of the lease after which a holder appends again.
+LEASE_MARGIN_S = 0.5
+# Seconds between the attempts of two boxes to claim a free lease, in the hash
+# order of all boxes: longer than it takes until all have read a claim (an
+# append of some ms, and two long-polled reads).  Without this delay each of
+# 195 boxes appended for each published version, and all but one in vain.  It
+# has a maximum, since many boxes may be disconnected from the store.
+CLAIM_DELAY_S = 0.15
+MAX_CLAIM_DELAY_S = 2.0
+# Share of the lease after which its holder appends again.
 RENEW_SHARE = 0.4
-# An order that got no answer may be carried out late; only the target's
-# own report, or this many seconds, allows another try.
+# Seconds before another attempt at an order without an answer, which may be
+# carried out late; the target's own report allows one earlier.
 UNANSWERED_S = 2.5
-# An order under way is believed for so long without the target's word.
+# Seconds for which an order counts as under way without a report of the
+# target.
 LOAD_S = 8.0
-# Seconds between telling all boxes and the order: what is under way arrives,
-# what waits begins, short runs end.  Longer ones go on across the load, which
-# costs a part of their worth; waiting for them costs a fifth of all targets
-# for seconds (five targets, three runs each: worth 0.755 with 0.5 s and one
-# target at once; 0.683 when loads waited for all runs, two at once).
+# Seconds between the announcement to all boxes and the order: requests under
+# way arrive, waiting ones begin, short runs end.  Longer runs continue during
+# the load, which costs a part of their value; waiting for them would exclude a
+# fifth of all targets for seconds.
 CLOSING_S = 0.5
-# Targets under way at once, as a share of them; twice as many may load
-# without slowing each other (the users' pages: 2 of 5, 18 of 45, 22 of 56),
-# and are under way where the time left asks for it.
-LOADS_SHARE = 0.2
-MOST_LOADS_SHARE = 0.4
-# Seconds that one target is under way: closing, two reports, and a load of
-# 1.3 s (the users' pages; 0.9 on others).
+# Share of the targets that are under way at once; twice as many may load
+# without slowing each other (2 of 5, 18 of 45, 22 of 56, as operators state),
+# and are under way if the time left requires it.
+CONCURRENT_SHARE = 0.2
+MAX_CONCURRENT_SHARE = 0.4
+# Seconds that one target is under way: closing, two reports, and a load of 1.3
+# s (0.9 s in some deployments).
 UNDER_WAY_S = 2.2
-# Pause after an order that was refused, seconds.
+# Pause in seconds after an order that was refused.
 REFUSED_S = 0.6
 
 
 class Claim(typing.NamedTuple):
-    """A holder's claim as it stands in the store.
+    """A holder's claim as it is in the store.
 
-    `loading` are the targets that it has ordered or will order, and after
-    how many seconds: every box reads the claim and sends them only what
-    ends before.
+    `loading` has the targets that the holder has ordered or will order, and in
+    how many seconds: every box reads the claim and sends them only requests
+    that end before.
     """
 
     holder: str
@@ -70,17 +70,20 @@
 
 
 def is_held(lease, now):
-    """Tell whether orders may be given under the lease.
+    """Return whether orders may be given under the lease.
 
     >>> lease = Lease(4, 10.0, 3.0)
     >>> is_held(lease, 12.0), is_held(lease, 13.0), is_held(None, 12.0)
     (True, False, False)
     """
-    return lease is not None and now - lease.since < lease.seconds - END_S
+    return (
+        lease is not None
+        and now - lease.since < lease.seconds - LEASE_MARGIN_S
+    )
 
 
 def is_young(lease, now):
-    """Tell whether the lease need not be renewed yet.
+    """Return whether the lease need not be renewed yet.
 
     >>> lease = Lease(4, 10.0, 3.0)
     >>> is_young(lease, 11.1), is_young(lease, 11.3)
@@ -90,17 +93,17 @@
 
 
 class Watch:
-    """Follows the claims on this box's clock.
+    """Track the newest claim on this box's clock.
 
     Parameters
     ----------
     lease_s : float
-        For which a claim is good after its append was sent.
+        Seconds for which a claim is valid after its append was sent.
 
     Attributes
     ----------
     end : int or None
-        Where the claims end in the store, as far as was read.
+        Offset of the end of the claims in the store, as far as was read.
     """
 
     def __init__(self, lease_s):
@@ -110,13 +113,13 @@
         self._since = 0.0
 
     def record(self, claim, now):
-        """Note the newest claim that was read."""
+        """Record a claim that was read, if it is the newest."""
         if self._claim is None or claim.fence > self._claim.fence:
             self._claim = claim
             self._since = now
 
     def may_claim(self, holder, now):
-        """Tell whether the box `holder` may append a claim of its own.
+        """Return whether the box `holder` may append a claim.
 
         >>> watch = Watch(3.0)
         >>> watch.may_claim('a', 0.0)
@@ -130,22 +133,22 @@
         return now - self._since >= self._lease_s + TAKEOVER_S
 
     def is_last_holder(self, holder):
-        """Tell whether the newest claim is that of the box `holder`."""
+        """Return whether the newest claim is that of the box `holder`."""
         return self._claim is not None and self._claim.holder == holder
 
 
-def find_turn(place):
-    """Give the seconds for which a box leaves a free right to others.
+def find_turn(rank):
+    """Return the seconds for which a box leaves a free lease to others.
 
     Parameters
     ----------
-    place : int
+    rank : int
         Of the box in the hash order of all boxes.
 
-    >>> find_turn(0), find_turn(2), find_turn(194)
-    (0.0, 0.3, 2.0)
+    >>> [find_turn(rank) for rank in (0, 2, 194)]
+    [0.0, 0.3, 2.0]
     """
-    return min(place * TURN_S, MOST_TURN_S)
+    return min(rank * CLAIM_DELAY_S, MAX_CLAIM_DELAY_S)
 
 
 class Order(typing.NamedTuple):
@@ -157,7 +160,7 @@
 
 
 class Pending(typing.NamedTuple):
-    """An order that was given: when, and what became of it."""
+    """An order that was given, its time and state."""
 
     order: Order
     sent: float
@@ -169,41 +172,41 @@
 UNANSWERED = 'unanswered'
 REFUSED = 'refused'
 
-# How long a state keeps a target from being ordered again, seconds.
-WAITS = {
+# Seconds for which a state prevents another order to the target.
+RETRY_DELAYS_S = {
     PREPARING: LOAD_S,
     ACCEPTED: LOAD_S,
     UNANSWERED: UNANSWERED_S,
     REFUSED: REFUSED_S,
 }
-# States in which a target is about to refuse requests, or does already.
+# States in which a target refuses requests, or will soon.
 LOADING = (PREPARING, ACCEPTED, UNANSWERED)
 
 
 class Rollout:
-    """Plans the orders for one model."""
+    """Plan the orders for one model."""
 
     def __init__(self):
         self._pending = {}
 
     def record(self, order, now, state):
-        """Note what became of an order."""
+        """Record the state of an order."""
         self._pending[order.target] = Pending(order, now, state)
 
     def finish(self, target):
-        """Note that nothing is under way at a target any more."""
+        """Record that nothing is under way at a target any more."""
         self._pending.pop(target, None)
 
-    def plan(self, model, version, targets, most, now):
-        """List the orders to give now.
+    def plan(self, model, version, targets, concurrency, now):
+        """Return the orders to give now.
 
         Parameters
         ----------
         version : int
-            The newest one named.
+            The newest published one.
         targets : dict of str to int
             The version that each target of the model has.
-        most : int
+        concurrency : int
             Targets that may load at once without slowing each other.
 
         >>> rollout = Rollout()
@@ -215,10 +218,10 @@
         []
         """
         self._forget(targets, now)
-        # One that was refused does not load: it takes up no room.
+        # A target that refused its order does not load, and is not counted.
         loading = [p for p in self._pending.values() if p.state in LOADING]
-        room = max(most - len(loading), 0)
-        # The furthest behind first: each version has a bound of its own.
+        free = max(concurrency - len(loading), 0)
+        # The furthest behind first: each version has a deadline of its own.
         behind = sorted(
             (
                 name
@@ -227,12 +230,12 @@
             ),
             key=lambda name: (targets[name], name),
         )
-        return [Order(name, model, version) for name in behind[:room]]
+        return [Order(name, model, version) for name in behind[:free]]
 
     def list_loading(self, now):
-        """Give the targets that load or will, and after how many seconds."""
+        """Return the targets that load or will, and in how many seconds."""
         return {
-            name: find_delay(pending, now)
+            name: compute_delay(pending, now)
             for name, pending in self._pending.items()
             if pending.state in LOADING
         }
@@ -240,17 +243,17 @@
     def _forget(self, targets, now):
         for name, pending in list(self._pending.items()):
             done = targets.get(name, 0) >= pending.order.version
-            over = now - pending.sent >= WAITS[pending.state]
-            if name not in targets or done or over:
+            expired = now - pending.sent >= RETRY_DELAYS_S[pending.state]
+            if name not in targets or done or expired:
                 del self._pending[name]
 
 
-def find_delay(pending, now):
-    """Give after how many seconds a target loads.
+def compute_delay(pending, now):
+    """Return in how many seconds a target loads.
 
-    >>> find_delay(Pending(None, 10.0, PREPARING), 10.1)
+    >>> compute_delay(Pending(None, 10.0, PREPARING), 10.1)
     0.4
-    >>> find_delay(Pending(None, 10.0, ACCEPTED), 10.5)
+    >>> compute_delay(Pending(None, 10.0, ACCEPTED), 10.5)
     0.0
     """
     if pending.state != PREPARING:
@@ -259,7 +262,7 @@
 
 
 def is_needed(version, targets):
-    """Tell whether any target is behind the named version.
+    """Return whether any target is behind the published version.
 
     >>> is_needed(2, {'a': 1, 'b': 2})
     True
@@ -268,12 +271,12 @@
 
 
 def find_room(targets, left):
-    """Give how many targets may be under way at once.
+    """Return how many targets may be under way at once.
 
     As few as bring all to the new weights in time, since the others have to
-    carry the load: with 195 boxes, and two fifths of 50 engines under way
-    from five seconds after a naming on whatever the time left, 0.60 to 0.73
-    of the credit was earned in those seconds.
+    carry the load: with 195 boxes and two fifths of 50 engines always under
+    way, from five seconds after a version was published on, requests earned
+    0.60 to 0.73 of their value in those seconds.
 
     Parameters
     ----------
@@ -282,27 +285,35 @@
     left : sequence of float
         For each that is behind, the seconds for which it may still be used.
 
-    >>> find_room(50, [12.0] * 50), find_room(50, [7.0] * 30)
-    (10, 10)
-    >>> find_room(50, [4.0] * 10 + [9.0] * 40), find_room(50, [1.0] * 30)
-    (12, 20)
-    >>> find_room(5, [9.0] * 5), find_room(5, [2.4] * 2), find_room(1, [9.0])
-    (1, 2, 1)
+    >>> find_room(50, [12.0] * 50)
+    10
+    >>> find_room(50, [7.0] * 30)
+    10
+    >>> find_room(50, [4.0] * 10 + [9.0] * 40)
+    12
+    >>> find_room(50, [1.0] * 30)
+    20
+    >>> find_room(5, [9.0] * 5)
+    1
+    >>> find_room(5, [2.4] * 2)
+    2
+    >>> find_room(1, [9.0])
+    1
     """
-    usual = int(targets * LOADS_SHARE)
-    most = int(targets * MOST_LOADS_SHARE)
-    room = min(max(find_pace(left), usual), most)
-    return max(min(room, targets - 1), 1)
+    usual = int(targets * CONCURRENT_SHARE)
+    limit = int(targets * MAX_CONCURRENT_SHARE)
+    wanted = min(max(compute_pace(left), usual), limit)
+    return max(min(wanted, targets - 1), 1)
 
 
-def find_pace(left):
-    """Give how many targets have to be under way for all to be in time.
+def compute_pace(left):
+    """Return how many targets have to be under way for all to be in time.
 
-    >>> find_pace([4.4, 4.4, 4.4]), find_pace([])
+    >>> compute_pace([4.4, 4.4, 4.4]), compute_pace([])
     (2, 0)
     """
     paces = [
-        place * UNDER_WAY_S / max(seconds, UNDER_WAY_S)
-        for place, seconds in enumerate(sorted(left), 1)
+        rank * UNDER_WAY_S / max(seconds, UNDER_WAY_S)
+        for rank, seconds in enumerate(sorted(left), 1)
     ]
     return round(max(paces, default=0.0))
--- a/landingspool/decisions/gateway/routes.py
+++ b/landingspool/decisions/gateway/routes.py
@@ -1,7 +1,7 @@
-"""Routes, services and keys: what operators publish for relayed requests.
+"""Routes, services and keys: the configuration published for relayed requests.
 
-A `Table` is one published version, whole and immutable.  A box holds the
-newest that it has seen and never goes back to an older one.
+A `Table` is one published version, complete and immutable.  A box holds the
+newest that it has read and never returns to an older one.
 """
 
 import typing
@@ -28,9 +28,9 @@
     kind : str
         SAFE may run twice, UNSAFE may not, STREAM answers with events.
     timeout_s : float
-        Longest time for which a request is held.
+        Longest time for which a request is held, in seconds.
     target_latency_s : float
-        Time to the answer (streams: the first event) that is aimed at.
+        Latency objective: seconds to the answer (streams: the first event).
     priority : int
         0 is the most urgent.
     max_attempts : int
@@ -38,7 +38,7 @@
     sticky : bool
         Whether requests name shared parts of their prompt.
     regions : frozenset of str
-        Its homes; empty where it may run anywhere.
+        Its allowed regions; empty if it may run anywhere.
     """
 
     name: str
@@ -57,21 +57,21 @@
 
 
 class Engine(typing.NamedTuple):
-    """What the targets of a service of model engines can do.
+    """Capacity of the targets of a service of model engines.
 
     Attributes
     ----------
     slots : int
-        Requests that one target works on at once.
+        Requests that one target runs at once.
     capacity_tokens : int
         Memory of one target, in tokens.
     token_bytes : int
-        Bytes of kept context for one token.
+        Bytes of cached context for one token.
     link_mbps : float
     event_calls : int
         Calls for cache events that one target holds at once.
     managed : bool
-        Whether `Kept` services of the kind that we free exist beside it.
+        Whether there are stores beside it that boxes write to and free.
     """
 
     slots: int
@@ -83,9 +83,9 @@
 
 
 class Keeper(typing.NamedTuple):
-    """A store of kept context.
+    """A store of cached context.
 
-    `first_s` is the wait before each transfer.
+    `first_s` is the wait in seconds before each transfer.
     """
 
     address: str
@@ -98,9 +98,10 @@
 
 
 class Service(typing.NamedTuple):
-    """Targets that are alike; `engine` or `keeper` is set for those kinds.
+    """A group of equivalent targets, which may be engines or a store.
 
-    `cold` is what they bear after a start.
+    `engine` or `keeper` is set for those kinds.  `cold` bounds the load
+    of its targets after a start.
     """
 
     name: str
@@ -112,9 +113,10 @@
 
 
 class Tenancy(typing.NamedTuple):
-    """A workspace as the routes know it; `priority` None: the route's.
+    """A workspace as the routes see it.
 
-    `regions` are its homes; empty where its requests may run anywhere.
+    If `priority` is None, the route's applies.  `regions` are its allowed
+    regions; empty if its requests may run anywhere.
     """
 
     name: str
@@ -124,7 +126,7 @@
 
 
 class Limits(typing.NamedTuple):
-    """What a caller may send, in bytes and seconds."""
+    """Limits on what a caller may send, in bytes and seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -141,11 +143,11 @@
         The routes of a host, those with the longest prefix first.
     services : dict of str to Service
     keys : dict of str to Tenancy
-        By API key; empty where no key is asked for.
+        By API key; empty if no key is required.
     keyed : bool
         Whether requests need a key.
     keepers : dict of str to Keeper
-        The stores of kept context by the address that targets use.
+        The stores of cached context by the address that targets use.
     """
 
     version: int
@@ -158,7 +160,7 @@
 
 
 def make_table(version, routes, services, keys, limits, keyed):
-    """Give the Table of one published version.
+    """Return the Table of one published version.
 
     Parameters
     ----------
@@ -182,7 +184,7 @@
 
 
 def find_route(table, host, path):
-    """Give the Route with the longest matching prefix, or None.
+    """Return the Route with the longest matching prefix, or None.
 
     >>> route = Route('r', 'h', '/a/', SAFE, 1, 1, 0, (Share('s', 1),))
     >>> table = make_table(1, [route], [], {}, Limits(), False)
@@ -200,12 +202,12 @@
 
 
 def find_tenancy(table, route, key):
-    """Give the workspace of a key.
+    """Return the workspace of a key.
 
     Returns
     -------
     tuple of (Tenancy or None, bool)
-        The workspace, and whether the request may pass.
+        The workspace, and whether the request is authorized.
 
     >>> table = make_table(1, [], [], {'k': Tenancy('w')}, Limits(), True)
     >>> route = Route('r', 'h', '/a/', SAFE, 1, 1, 0, ())
@@ -221,7 +223,7 @@
 
 
 def pick_service(route, rng):
-    """Pick the service of one request by the weights of the route.
+    """Return a random service for one request, by the weights of the route.
 
     Parameters
     ----------
@@ -237,5 +239,5 @@
 
 
 def may_repeat(route):
-    """Tell whether a request of the route may run more than once."""
+    """Return whether a request of the route may run more than once."""
     return route.kind == SAFE or (route.kind == STREAM and route.resumable)
--- a/landingspool/decisions/gateway/transfers.py
+++ b/landingspool/decisions/gateway/transfers.py
@@ -1,7 +1,7 @@
-"""Which parts of a prompt come from stores, and which are written there.
+"""Plans which parts of a prompt are fetched from stores or written to them.
 
-A store frees nothing by itself and checks nothing: a part is offered only
-as `warmth` allows, and every offer ends with a time on the targets' clock.
+A store frees nothing by itself and checks nothing: a part is offered only as
+the index allows, and every offer ends at a time on the targets' clock.
 """
 
 import typing
@@ -10,11 +10,11 @@
 from landingspool.decisions.gateway import warmth as warmth_module
 from landingspool.decisions import ownership
 
-# Tokens under which a part is not worth a transfer: its wait (a miss costs
-# a millisecond) is as long as reading it.
-LEAST_TOKENS = 96
-# Share of a store that is filled: what others write at the same moment has
-# to fit in beside ours.
+# Tokens below which a part is not worth a transfer: the wait before it (a miss
+# costs a millisecond) is as long as reading the part.
+MIN_TOKENS = 96
+# Share of a store that is filled: simultaneous writes of other boxes have to
+# fit in as well.
 FILL_SHARE = 0.96
 # Bits; links are published in megabits a second.
 MEGABIT = 1e6
@@ -32,7 +32,7 @@
     tokens : int
         Leading tokens that need not be read.
     seconds : float
-        How long the transfer takes on idle links.
+        Duration of the transfer on idle links.
     """
 
     fetch: tuple = ()
@@ -42,95 +42,97 @@
     seconds: float = 0.0
 
 
-def plan_transfer(prompt, space, keepers, warmth, token_bytes, now):
-    """Plan the transfers of one request.
+def plan_transfer(prompt, space, stores, index, token_bytes, now):
+    """Return the transfers of one request.
 
     Parameters
     ----------
-    keepers : dict of str to routes.Keeper
+    stores : dict of str to routes.Keeper
         By address.
-    warmth : warmth.Warmth
+    index : context_index.ContextIndex
     token_bytes : int
     """
-    managed = {a: k for a, k in keepers.items() if k.managed}
-    readable = [a for a in managed if warmth.may_fetch(a, now)]
-    writable = [a for a in managed if warmth.may_save(a, now)]
+    managed = {a: k for a, k in stores.items() if k.managed}
+    readable = [a for a in managed if index.may_fetch(a, now)]
+    writable = [a for a in managed if index.may_save(a, now)]
     if not readable:
         return Transfer()
     fetch, save, used = [], [], set()
     tokens, seconds, leading = 0, 0.0, True
     for part in prompts.list_shared(prompt):
-        source = find_source(part, space, readable, managed, warmth)
-        target = (
-            '' if source else find_room(part, space, writable, managed, warmth)
+        source = choose_source(part, space, readable, managed, index)
+        destination = (
+            ''
+            if source
+            else choose_destination(part, space, writable, managed, index)
         )
         fetch.append(source)
-        save.append(target)
+        save.append(destination)
         leading = leading and bool(source)
         if not source:
             continue
         used.add(source)
         if leading:
             tokens += part.tokens
-        seconds += find_seconds(part.tokens, managed[source], token_bytes)
-    # The last part is the request's own: nobody reads it again.
+        seconds += estimate_seconds(part.tokens, managed[source], token_bytes)
+    # The last part is the request's own: it is not read again.
     fetch.append('')
     save.append('')
     return Transfer(
         tuple(fetch),
         tuple(save),
-        find_end(used, warmth),
+        compute_offer_end(used, index),
         tokens,
         seconds,
     )
 
 
-def find_source(part, space, readable, keepers, warmth):
-    """Give the fastest store that holds the whole part, or an empty text."""
-    if part.tokens < LEAST_TOKENS:
+def choose_source(part, space, readable, stores, index):
+    """Return the fastest store that holds the complete part, or ''."""
+    if part.tokens < MIN_TOKENS:
         return ''
     holding = [
         address
         for address in readable
-        if warmth.kept(address).get((space, part.name), 0) >= part.tokens
+        if index.kept(address).get((space, part.name), 0) >= part.tokens
     ]
-    return max(holding, key=lambda a: (keepers[a].link_mbps, a), default='')
+    return max(holding, key=lambda a: (stores[a].link_mbps, a), default='')
 
 
-def find_room(part, space, writable, keepers, warmth):
-    """Give the store that a part is written to, or an empty text.
+def choose_destination(part, space, writable, stores, index):
+    """Return the store that a part is written to, or ''.
 
-    All boxes agree on the order of stores for a part, so that one part is
-    seldom written twice.
+    All boxes order the stores for a part alike, so that a part is rarely
+    written twice.
     """
-    if part.tokens < LEAST_TOKENS:
+    if part.tokens < MIN_TOKENS:
         return ''
-    roomy = [
+    with_space = [
         address
         for address in writable
-        if warmth.get(address).taken + warmth_module.count_room(part.tokens)
-        < keepers[address].capacity_tokens * FILL_SHARE
+        if index.get(address).taken + warmth_module.count_memory(part.tokens)
+        < stores[address].capacity_tokens * FILL_SHARE
     ]
-    if not roomy:
+    if not with_space:
         return ''
-    return ownership.rank(f'{space}/{part.name}', tuple(sorted(roomy)))[0]
+    return ownership.rank(f'{space}/{part.name}', tuple(sorted(with_space)))[0]
 
 
-def find_end(addresses, warmth):
-    """Give when offers from these stores end, on the targets' clock."""
-    clocks = [warmth.get(address).clock_ms for address in addresses]
+def compute_offer_end(addresses, index):
+    """Return when offers of these stores end, in ms of the targets' clock."""
+    clocks = [index.get(address).clock_ms for address in addresses]
     if not clocks:
         return None
     return min(clocks) + warmth_module.LEASE_S * 1000
 
 
-def find_seconds(tokens, keeper, token_bytes):
-    """Give the seconds that a transfer takes on an idle link.
+def estimate_seconds(tokens, store, token_bytes):
+    """Return the seconds that a transfer takes on an idle link.
 
     >>> from landingspool.decisions.gateway import routes
-    >>> keeper = routes.Keeper('a:1', 'd', 9000, 800.0, 1, True, 0.001)
-    >>> find_seconds(1000, keeper, 100)
+    >>> store = routes.Keeper('a:1', 'd', 9000, 800.0, 1, True, 0.001)
+    >>> estimate_seconds(1000, store, 100)
     0.002
     """
     bits = tokens * token_bytes * 8
-    return keeper.first_s + bits / (keeper.link_mbps * MEGABIT)
+    return store.first_s + bits / (store.link_mbps * MEGABIT)
--- a/landingspool/decisions/gateway/view.py
+++ b/landingspool/decisions/gateway/view.py
@@ -1,7 +1,8 @@
-"""What one box believes, and what it decides from it about each request.
+"""State that one box holds about the fleet, and its decisions on each request.
 
-Everything in here is soft: a box starts with nothing, learns from the
-platform's store, from targets and from its own requests, and decides alone.
+All of it is soft state: a box starts empty, learns from the platform's store,
+from targets and from its own requests, and decides without consulting other
+boxes.
 """
 
 import random
@@ -17,7 +18,7 @@
 from landingspool.decisions.gateway import lateness
 from landingspool.decisions.gateway import loads as loads_module
 from landingspool.decisions.gateway import neighbours
-from landingspool.decisions.gateway import partition as partition_module
+from landingspool.decisions.gateway import partition as split_module
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import prompts
 from landingspool.decisions.gateway import reach as reach_module
@@ -27,23 +28,24 @@
 from landingspool.decisions.gateway import watching as watching_module
 from landingspool.decisions.gateway import weights as weights_module
 
-# Boxes that the retry budget is divided by at least: today's deployments
-# have six and seven, and may replace one.
+# Lowest number of boxes that the retry budget is divided by: the deployments
+# have six and seven boxes, and may replace one of them.
 USUAL_BOXES = 8
-# Seconds without a byte after which a target with a waiting request is
-# taken for silent: engines answer within some hundred ms, plain services
-# within 220 at most.
-ENGINE_PATIENCE_S = 1.0
-PLAIN_PATIENCE_S = 0.45
+# Seconds without a byte after which a target with a waiting request counts as
+# silent: engines answer within some hundred ms, plain services within 220 ms
+# at most.
+ENGINE_SILENCE_S = 1.0
+PLAIN_SILENCE_S = 0.45
 
 
-# Share of the latency that a route aims at that a request is expected to wait
-# at each engine for its size before the other engines are weighed, too.
+# Share of a route's latency objective that a request may be expected to wait
+# at each of the engines for its size; above it the other engines are
+# candidates, too.
 OVERFLOW_SHARE = 0.2
 
 
 class View:
-    """The beliefs of one box.
+    """Hold what one box knows, and plan requests with it.
 
     Parameters
     ----------
@@ -51,7 +53,7 @@
     bounds
         The deployment's Bounds.
     seed : int
-        Of the choices that are left to chance.
+        Of the random choices.
     regions : dict of str to str, optional
         The region of each failure domain.
     """
@@ -67,7 +69,7 @@
         self.weights = weights_module.Weights(bounds.version_s)
         self.reach = reach_module.Reach()
         self.watching = watching_module.Watching()
-        self.partition = partition_module.Partition()
+        self.partition = split_module.Partition()
         self.bars = bars.Bars(bounds, regions or {}, self.rng)
         self.room = room_module.Room(self.fleet, self.bars)
         self.warmth = warmth_module.Warmth()
@@ -75,22 +77,22 @@
         self.neighbours = neighbours.Neighbours()
         self.endings = endings_module.Endings()
         self.boxes = USUAL_BOXES
-        # Other boxes, by domain.
+        # Number of other boxes in each domain.
         self.others = {}
-        # Life and tokens taken of each store that this box counted.
+        # Epoch and used tokens of each store, as this box last counted them.
         self.rooms = {}
         self._health = {}
-        self._allowances = {}
+        self._retry_budgets = {}
 
     def put_table(self, table):
-        """Take in a published table; True if it is newer than ours."""
+        """Store a published table; return False if it is not newer."""
         if self.table is not None and table.version <= self.table.version:
             return False
         self.table = table
         return True
 
     def put_entry(self, entry, now):
-        """Take in what a target says; gives the state that holds."""
+        """Store a target's entry; return the state that applies."""
         before = self.fleet.find_life(entry.target)
         state = self.fleet.put(entry)
         if state == fleet_module.OVER:
@@ -101,23 +103,23 @@
         return state
 
     def withdraw_evacuation(self, domain, now):
-        """Take in that an evacuation is over; True if it stood."""
+        """Record the end of an evacuation; return True if it was in force."""
         entries = self.fleet.entries.values()
         return self.bars.withdraw_evacuation(domain, entries, self.table, now)
 
     def record_back(self, name, now):
-        """Note that this box can connect to a target again."""
+        """Record that this box can connect to a target again."""
         entry = self.fleet.entries.get(name)
         self.reach.record_reached(name, now)
         if entry is not None:
             self.bars.record_back(entry, self.table, now)
 
     def list_services(self):
-        """List the names of the published services."""
+        """Return the names of the published services."""
         return tuple(self.table.services) if self.table is not None else ()
 
     def list_ordered(self, model):
-        """List the entries of a model's targets that may get orders."""
+        """Return the entries of a model's targets that may get load orders."""
         return [
             entry
             for entry in self.fleet.list_model(model, self.list_services())
@@ -125,56 +127,57 @@
         ]
 
     def may_send(self, entry, work, now):
-        """Tell whether a request may be sent to a target at this moment."""
+        """Return whether a request may be sent to a target now."""
         if entry.name not in self.fleet.entries:
             return False
         limits = self.bars.find_limits(work, self.table)
         return self.bars.find_bar(entry, limits, now) is None
 
     def has_open(self, work, now):
-        """Tell whether nothing forbids some target of a request's service."""
+        """Return whether a request's service has a target not excluded."""
         limits = self.bars.find_limits(work, self.table)
         entries = self.fleet.list_service(work.service)
         return bool(self.bars.list_open(entries, limits, now))
 
     def find_lack(self, work, now):
-        """Give why no target may get a request, as bars.Bars.find_lack."""
+        """Return why no target may get a request."""
         limits = self.bars.find_limits(work, self.table)
         entries = self.fleet.list_service(work.service)
         return self.bars.find_lack(entries, limits, now)
 
     def plan(self, work, avoid, now, ready=frozenset()):
-        """Choose a target for a request; a Plan, or None where none is.
+        """Choose a target for a request; return a Plan, or None.
 
         Parameters
         ----------
         avoid : sequence of str
-            Targets that had this request before.
+            Targets that this request was sent to before.
         ready : frozenset of tuple
-            Addresses to which a connection is at rest.
+            Addresses to which there is an idle connection.
         """
         entries = self._list_usable(work, avoid, now)
-        # Most targets run the same weights: one plan of transfers each.
+        # Most targets run the same weights, so transfers are planned once for
+        # each namespace.
         transfers_by_space = {}
         candidates = [
-            self._weigh(entry, work, now, transfers_by_space)._replace(
-                ready=entry.address in ready
-            )
+            self._make_candidate(
+                entry, work, now, transfers_by_space
+            )._replace(ready=entry.address in ready)
             for entry in entries
         ]
-        held = choice.measure_held(candidates)
+        held = choice.measure_memory(candidates)
         candidates = plans.weigh_candidates(candidates, work, held)
-        patience_s = (
-            PLAIN_PATIENCE_S if work.prompt is None else ENGINE_PATIENCE_S
+        silence_timeout_s = (
+            PLAIN_SILENCE_S if work.prompt is None else ENGINE_SILENCE_S
         )
-        usable = choice.list_usable(candidates, now, patience_s)
+        usable = choice.list_usable(candidates, now, silence_timeout_s)
         chosen = choice.choose(
-            self._narrow(usable, work, held),
+            self._pick_by_size(usable, work, held),
             work.prompt,
             self.domain,
             now,
             self.rng,
-            patience_s,
+            silence_timeout_s,
         )
         if chosen is None:
             return None
@@ -186,40 +189,43 @@
         is_scarce = all(c.limited for c in candidates)
         return plan._replace(pressure=pressure, held=held, is_scarce=is_scarce)
 
-    def _narrow(self, candidates, work, held):
-        """Keep the engines for readings of a request's size, among sound ones.
+    def _pick_by_size(self, candidates, work, held):
+        """Return the healthy engines for prompts of this request's size.
 
-        All are kept where each of these would let it wait too long.
+        All candidates are returned where each of these engines would let the
+        request wait too long.
         """
         if work.prompt is None or not candidates:
             return candidates
-        taken, places = choice.count_taken(candidates)
-        self.partition.record_room(
-            partition_module.measure_room(taken, places, len(candidates)),
+        taken, slots = choice.count_occupancy(candidates)
+        self.partition.record_headroom(
+            split_module.measure_headroom(taken, slots, len(candidates)),
             held.share,
         )
-        saved = max(candidate.saved for candidate in candidates)
-        read = prompts.count_read(work.prompt, saved)
+        stored = max(candidate.stored for candidate in candidates)
+        read = prompts.count_read(work.prompt, stored)
         names = self.partition.pick(read, [c.entry for c in candidates])
         if names is None:
             return candidates
         limit_s = work.route.target_latency_s * OVERFLOW_SHARE
-        kept = [c for c in candidates if c.entry.name in names]
-        if all(choice.expect_wait(c) > limit_s for c in kept):
+        suited = [c for c in candidates if c.entry.name in names]
+        if all(choice.estimate_wait(c) > limit_s for c in suited):
             return candidates
-        return kept
+        return suited
 
     def is_admitted(self, plan, work):
-        """Tell whether a request should be sent on as planned."""
+        """Return whether a request should be sent as planned."""
         if work.prompt is None:
             return True
-        weight = choice.weigh_memory(plans.count_held(work), plan.held)
+        weight = choice.compute_memory_weight(
+            plans.count_held(work), plan.held
+        )
         filled = (
             (plan.pressure, admission.PRESSURES),
             (plan.held.share * weight, admission.MEMORY_SHARES),
         )
         for share, bounds in filled:
-            if not admission.is_spared(
+            if not admission.is_below_share(
                 share, bounds, work.route.priority, self.rng.random()
             ):
                 return False
@@ -231,19 +237,19 @@
         )
 
     def find_lag(self, name, model, now):
-        """Give the seconds since the first version that a target missed."""
+        """Return the seconds since the first version that a target missed."""
         has = self.fleet.get_version(name, model)
         return self.weights.find_lag(model, has, now)
 
     def find_time_left(self, name, model, now):
-        """Give the seconds for which a target's weights may be used."""
-        return self.weights.most_lag_s - self.find_lag(name, model, now)
+        """Return the seconds for which a target's weights remain usable."""
+        return self.weights.max_lag_s - self.find_lag(name, model, now)
 
     def find_kept(self, service):
-        """Give how many connections to one target this box may keep.
+        """Return how many connections to one target this box may keep open.
 
-        All boxes together keep half of what a target accepts, so that new
-        connections of any of them still find room.
+        All boxes together keep at most half of what a target accepts, so that
+        new connections of any of them are still accepted.
         """
         known = self.table.services.get(service)
         if known is None:
@@ -251,7 +257,7 @@
         return max(known.max_connections // (2 * self.boxes), 1)
 
     def record_sent(self, plan, work, now):
-        """Note that a request goes to a target."""
+        """Record that a request is sent to a target."""
         tokens = held = 0
         if work.prompt is not None:
             tokens = plan.read_tokens
@@ -263,10 +269,11 @@
         self.bars.record_sent(plan.entry.name, now)
 
     def record_first(self, plan, work, now):
-        """Note that the answer to a request has begun."""
+        """Record the first byte of the answer to a request."""
         name = plan.entry.name
         if name not in self.fleet.entries:
-            # What a life that is over sends says nothing of the next one.
+            # An answer of an earlier incarnation tells nothing about the
+            # current one.
             return
         self.loads.record_heard(name, now)
         self.reach.record_reached(name, now)
@@ -275,14 +282,16 @@
             self.endings.record_alive(name, sent.at)
         if sent is None or work.prompt is None:
             return
-        aim_s = work.route.target_latency_s
-        self.lateness.record_first(work.service, now - sent.at, aim_s, now)
+        objective_s = work.route.target_latency_s
+        self.lateness.record_first(
+            work.service, now - sent.at, objective_s, now
+        )
         if plan.space:
             parts = prompts.list_shared(work.prompt)
             self.warmth.add_read(name, plan.space, parts, now)
 
     def record_answer(self, plan, wait_s, failed):
-        """Learn from an answer of a target.
+        """Update a target's health from an answer.
 
         Parameters
         ----------
@@ -298,86 +307,88 @@
         )
 
     def record_loss(self, name, now, certain=False):
-        """Learn from a request that a target did not answer."""
+        """Update a target's health from a request that it did not answer."""
         known = self.get_health(name)
         self._health[name] = health_module.record_loss(known, now, certain)
 
     def take_digest(self, digest, now):
-        """Take in what another box has under way, and what it found out."""
+        """Store what another box reports of its requests and of targets."""
         self.neighbours.take(digest, now)
         for name in self.watching.hear(digest.box, digest.unreached, now):
             self.reach.hasten(name, now)
         for name in digest.unreached:
             if name in self.fleet.entries:
                 self._suspect(name, now)
-        for word in digest.endings:
-            self.endings.take(word, now)
-        for word in digest.limits:
-            self.bars.limits.take(word, digest.box, now)
-        for word in digest.leaving:
-            self.bars.leaving.take(word, digest.box, now)
+        for notice in digest.endings:
+            self.endings.take(notice, now)
+        for notice in digest.limits:
+            self.bars.limits.take(notice, digest.box, now)
+        for notice in digest.leaving:
+            self.bars.leaving.take(notice, digest.box, now)
         for store, counted in digest.rooms.items():
             self.warmth.record_taken(store, *counted)
 
     def _suspect(self, name, now):
         duty = self.watching.is_duty(name)
-        sure_s = reach_module.WATCHER_SURE_S if duty else reach_module.SURE_S
-        self.reach.suspect(name, now, sure_s)
+        confirm_s = (
+            reach_module.WATCHER_SURE_S if duty else reach_module.SURE_S
+        )
+        self.reach.suspect(name, now, confirm_s)
 
     def record_unreached(self, name, now):
-        """Note that no connection of this box to a target came up."""
+        """Record that this box could not connect to a target."""
         watched = self.watching.is_watched(name, now)
         self.reach.record_failed(name, now, watched)
 
     def get_health(self, name):
-        """Give the Health of a target."""
+        """Return the Health of a target."""
         return self._health.get(name, health_module.Health())
 
     def count_first(self, work, now):
         """Count a request for the retry budget of its service."""
-        self._get_allowance(work.service).record_first(now)
+        self._get_retry_budget(work.service).record_first(now)
         self.room.record(work, now)
 
     def may_repeat(self, service, now):
-        """Take one repeat from the retry budget of a service."""
-        return self._get_allowance(service).take(now, self.boxes)
+        """Take one repeat from a service's retry budget, if one is left."""
+        return self._get_retry_budget(service).take(now, self.boxes)
 
     def may_call(self, name, now):
-        """Tell whether calls beside the requests may go to a target."""
+        """Return whether calls other than requests may go to a target."""
         entry = self.fleet.entries.get(name)
         return entry is not None and self.bars.may_call(entry, now)
 
     def record_over(self, name, now):
-        """Take in that the life of a target is over."""
+        """Record that the incarnation of a target has ended."""
         self.endings.record_over(name, now)
         self.bars.leaving.record_over(name)
         self.forget(name)
 
     def forget(self, name):
-        """Forget what was learnt of a target that has gone."""
+        """Discard what was learned of a target that is gone."""
         self._health.pop(name, None)
         self.loads.forget(name)
         self.reach.forget(name)
         self.warmth.forget(name)
         self.bars.forget(name)
 
-    def _get_allowance(self, service):
-        known = self._allowances.get(service)
+    def _get_retry_budget(self, service):
+        known = self._retry_budgets.get(service)
         if known is None:
             bounds = self.bounds
             known = allowance.Allowance(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
             )
-            self._allowances[service] = known
+            self._retry_budgets[service] = known
         return known
 
     def _list_usable(self, work, avoid, now):
-        """List the entries of the targets that a request may be sent to."""
+        """Return the entries of the targets that a request may be sent to."""
         limits = self.bars.find_limits(work, self.table)
         known = self.fleet.list_service(work.service)
         known = [entry for entry in known if entry.name not in avoid]
         entries = self.bars.list_open(known, limits, now)
-        # Where none can be reached, trying costs no more than refusing.
+        # If none can be reached, an attempt costs no more than a refusal.
         reached = [e for e in entries if not self.reach.is_out(e.name)]
         entries = reached or entries
         if work.prompt is None:
@@ -385,7 +396,7 @@
         return self._list_loaded(entries, work.prompt, now)
 
     def _list_loaded(self, entries, prompt, now):
-        """Leave out what loads or has weights that are too old to use."""
+        """Return the entries that neither load nor have too old weights."""
         idle = [
             entry
             for entry in entries
@@ -395,10 +406,10 @@
             entry
             for entry in idle or entries
             if self.find_lag(entry.name, prompt.model, now)
-            < self.weights.most_lag_s
+            < self.weights.max_lag_s
         ]
 
-    def _weigh(self, entry, work, now, transfers_by_space):
+    def _make_candidate(self, entry, work, now, transfers_by_space):
         others = self.neighbours.get_load(entry.name, self.others, now)
         load = self.loads.measure(entry.name, others)
         health = self.get_health(entry.name)
@@ -409,7 +420,9 @@
                 entry, load, health, cold_s=cold_s, limited=limited
             )
         version = self.fleet.get_version(entry.name, work.prompt.model)
-        space = prompts.name_space(work.prompt.model, version, work.tenancy)
+        space = prompts.build_namespace(
+            work.prompt.model, version, work.tenancy
+        )
         kept = prompts.count_kept(
             work.prompt, space, self.warmth.kept(entry.name)
         )
@@ -424,15 +437,15 @@
             kept,
             transfer.tokens,
             transfer.seconds,
-            weights_module.find_handicap(
+            weights_module.compute_penalty(
                 self.find_lag(entry.name, work.prompt.model, now)
             ),
-            self._find_capacity(work.service),
+            self._get_capacity(work.service),
             cold_s=cold_s,
             limited=limited,
         )
 
-    def _find_capacity(self, service):
+    def _get_capacity(self, service):
         known = self.table.services.get(service)
         if known is None or known.engine is None:
             return 0
@@ -442,7 +455,7 @@
         version, space, read = None, '', 0
         transfer = transfers.Transfer()
         if work.prompt is not None:
-            version, space = self._find_space(chosen.entry.name, work, now)
+            version, space = self._get_namespace(chosen.entry.name, work, now)
             if version is not None:
                 transfer = transfers_by_space[space]
             kept = max(chosen.kept, transfer.tokens)
@@ -459,17 +472,17 @@
             transfer,
         )
 
-    def _find_space(self, name, work, now):
-        """Give the version that a request needs, and its namespace.
+    def _get_namespace(self, name, work, now):
+        """Return the version that a request needs, and its namespace.
 
         A target that is about to load may have the new weights before the
-        request arrives, or while it runs.  So the request may run on
-        whichever is there (None), but shares nothing: it has a namespace of
-        its own, and no transfers.
+        request arrives, or get them while it runs.  So the version is None
+        (any version will do), and the request has a namespace of its own and
+        no transfers: it shares no context with other requests.
         """
         model = work.prompt.model
         version = self.fleet.get_version(name, model)
-        space = prompts.name_space(model, version, work.tenancy)
+        space = prompts.build_namespace(model, version, work.tenancy)
         loading = self.weights.is_loading(name, work.prompt, now)
         if version is None or loading:
             return None, f'{space}.{work.name}'
@@ -490,7 +503,7 @@
             now,
         )
         if self.weights.is_replaced(work.prompt.model, version):
-            # Nobody reads these any more in a few seconds, and the room that
-            # they take is only free again after that.
+            # These parts are of no use within seconds, and the memory that
+            # they take becomes free only after that.
             return planned._replace(save=())
         return planned
--- a/landingspool/decisions/gateway/warmth.py
+++ b/landingspool/decisions/gateway/warmth.py
@@ -1,45 +1,45 @@
-"""Where context is kept: a directory from cache events, lists and sends.
-
-What targets tell comes late and with gaps, so the directory is a hint for
-routing only.  For stores it must be more than that: a transfer from a part
-that was not whole would corrupt a request.  A part of a store is offered
-only when the store itself told that it is whole, in the life (epoch) that
-was confirmed shortly before, and no longer than a lease after that; who
-writes into a new life of a store waits out such leases first.
-
-A store takes a write only while it has room, and loses it otherwise without
-a word.  So its room is counted as it counts it: in whole blocks, with what
-broke off while it was written (one that was believed to have a twentieth
-left, and was full, lost a quarter of a day's writes).
+"""Holds an index of cached context, from cache events, lists and requests.
+
+Events of targets arrive late and with gaps, so for targets the index is only a
+hint for routing.  For stores it must be exact: fetching a part that is not
+complete would corrupt a request.  A part of a store is offered only if the
+store itself reported it as complete, in the epoch that was confirmed shortly
+before, and no longer than a lease after that; a box that writes into a new
+epoch of a store first waits until such leases have ended.
+
+A store accepts a write only while it has free memory, and silently drops it
+otherwise.  So used memory is counted as the store counts it: in whole blocks,
+with incomplete parts.  A store that was assumed to have a twentieth free, and
+was full, lost a quarter of all writes.
 """
 
 import typing
 
-# Seconds for which a confirmation of a store's life may be used.
+# Seconds for which a confirmation of a store's epoch may be used.
 LEASE_S = 2.6
 # Seconds of the lease that have to be left for an offer: the request has to
-# reach its target, wait there and fetch, or the transfer is thrown away.
-LEAST_LEFT_S = 0.6
-# Seconds after a store's life is first seen before anything is written
-# into it: leases from its former life, and transfers begun under them,
-# have ended by then on every box whose clock runs.  A life in which parts
-# are kept has been written into by a box that had waited.
+# reach its target, wait there and fetch, or the transfer is discarded.
+MIN_LEFT_S = 0.6
+# Seconds after a store's epoch is first seen before anything is written into
+# it: leases of its former epoch, and transfers begun under them, have ended by
+# then on every box whose clock runs.  If parts are held in an epoch, a box
+# that had waited has written them.
 SETTLE_S = 5.4
-# Names that an index keeps at most: bounds memory where targets keep many
-# small parts (10 MB a box at the sizes of the grown deployments).
-MOST_NAMES = 60_000
+# Names that the index of one target holds at most: bounds memory where targets
+# hold many small parts (10 MB a box in the largest deployments).
+MAX_NAMES = 60_000
 # Batches of changes kept for the boxes that follow this one: a minute.
-MOST_BATCHES = 100
-# Tokens that a store gives room for at a time (the users' page of the
-# system: memory goes by blocks of 16 tokens).
+MAX_BATCHES = 100
+# Block size of a store in tokens: it allocates memory in blocks of 16 tokens,
+# as operators state.
 BLOCK_TOKENS = 16
-# Life and place told by a box that knows nothing of a store; no life has
-# this number, so it is sent the whole list.
+# Epoch and position reported by a box that knows nothing of a store; no epoch
+# has this number, so the box is sent the full list.
 UNKNOWN = -1, -1
 
 
 class Change(typing.NamedTuple):
-    """One cache event: `tokens` of a part are kept from now on; 0: none."""
+    """One cache event: `tokens` of a part are cached from now on; 0: none."""
 
     space: str
     part: str
@@ -47,7 +47,10 @@
 
 
 class Unwhole(typing.NamedTuple):
-    """A part that is being written, or that broke off: `room` is taken."""
+    """A part that is being written, or whose write was cut off.
+
+    `room` is the memory that it takes, in tokens.
+    """
 
     space: str
     part: str
@@ -56,30 +59,30 @@
 
 
 class Index(typing.NamedTuple):
-    """What one target or store keeps.
+    """Contents of one target's or store's cache.
 
     Attributes
     ----------
     epoch : int or None
-        Its life; None before it was heard.
+        Number of its incarnation; None before it was received.
     next : int
-        Where the next call for events begins.
+        Position at which the next call for events begins.
     kept : dict of tuple to int
         Tokens by (namespace, part name).
     confirmed : float
-        When the newest answer was asked for, on this box's clock.
+        When the newest answer was requested, on this box's clock.
     first_seen : float
-        When this epoch was first heard of.
+        When this epoch was first received.
     clock_ms : float or None
         The targets' clock in that answer.
     used : int
-        Tokens of room that the kept parts take, as of the newest answer.
+        Tokens of memory that the complete parts take, as of the newest answer.
     batches : tuple of tuple
         The newest changes, each with the `next` that they led to.
     unwhole : tuple of Unwhole
-        Of the newest whole list.
+        Of the newest full list.
     beyond : int
-        Tokens of room that were taken beside `used` at the last count.
+        Tokens of memory that were taken beside `used` at the last count.
     """
 
     epoch: int | None
@@ -95,15 +98,15 @@
 
     @property
     def taken(self):
-        """Tokens of room that are taken, as far as is known."""
+        """Tokens of memory that are taken, as far as is known."""
         return self.used + self.beyond
 
 
 class News(typing.NamedTuple):
-    """An answer to a call for events, or a whole list (`whole`).
+    """An answer to a call for events, or a full list (`whole`).
 
-    `age_s` is how long ago the target or store was asked, where another box
-    passes the news on.
+    `age_s` is how many seconds ago the target or store was asked, if another
+    box forwards the answer.
     """
 
     epoch: int
@@ -117,66 +120,68 @@
 
 
 class Warmth:
-    """The directory of one box."""
+    """Hold the contents of all caches that one box knows."""
 
     def __init__(self):
         self._indexes = {}
 
     def get(self, name):
-        """Give the Index of a target or store, or None."""
+        """Return the contents of a target or store, or None."""
         return self._indexes.get(name)
 
     def kept(self, name):
-        """Give what a target is believed to keep, by (space, part)."""
+        """Return what a target is assumed to have cached, by (space, part)."""
         index = self._indexes.get(name)
         return index.kept if index is not None else {}
 
     def forget(self, name):
-        """Forget a target or store that has gone."""
+        """Discard the contents of a target or store that is gone."""
         self._indexes.pop(name, None)
 
-    def take(self, name, news, sent, now):
-        """Take in news; returns whether a whole list is needed.
+    def take(self, name, update, sent, now):
+        """Apply an update; return whether a full list is needed.
 
         Parameters
         ----------
         sent : float
-            When the call that brought the news was sent; what another box
-            told is older by the age it gave.
+            When the call that returned the update was sent; an update that
+            another box forwards is older by the age it states.
         """
         index = self._indexes.get(name)
-        fresh = index is None or index.epoch != news.epoch
-        if not fresh and not news.lost and news.next < index.next:
-            # Overtaken on its way: parts that it tells of may be gone.
+        is_new = index is None or index.epoch != update.epoch
+        if not is_new and not update.lost and update.next < index.next:
+            # Overtaken by a newer update: parts in it may be gone.
             return False
-        if fresh:
-            index = Index(news.epoch, news.next, {}, now, now)
-        changes = find_missed(index, news) if news.whole else news.changes
+        if is_new:
+            index = Index(update.epoch, update.next, {}, now, now)
+        changes = diff_list(index, update) if update.whole else update.changes
         kept = index.kept
         for change in changes:
             apply_change(kept, change)
         trim(kept)
         self._indexes[name] = index._replace(
-            next=news.next,
-            confirmed=sent - news.age_s,
-            # A list tells no clock, and what is offered needs one.
-            clock_ms=news.clock_ms,
-            used=sum(map(count_room, kept.values())),
-            batches=add_batch(() if fresh else index.batches, news, changes),
-            unwhole=news.unwhole if news.whole else index.unwhole,
-            beyond=count_unwhole(news) if news.whole else index.beyond,
+            next=update.next,
+            confirmed=sent - update.age_s,
+            # A list carries no clock, and offers need one.
+            clock_ms=update.clock_ms,
+            used=sum(map(count_memory, kept.values())),
+            batches=add_batch(
+                () if is_new else index.batches, update, changes
+            ),
+            unwhole=update.unwhole if update.whole else index.unwhole,
+            beyond=count_incomplete(update) if update.whole else index.beyond,
         )
-        return not news.whole and (news.lost or fresh)
+        return not update.whole and (update.lost or is_new)
 
     def record_taken(self, name, epoch, taken):
-        """Take in how much of a store's room was taken, as another box saw.
+        """Record how much of a store's memory another box counted as taken.
 
         Parameters
         ----------
         epoch : int
-            The store's life then.
+            The store's epoch then.
         taken : int
-            Tokens, as Index.taken.
+            Tokens, as the property of the same name.
         """
         index = self._indexes.get(name)
         if index is None or index.epoch != epoch:
@@ -185,7 +190,7 @@
         self._indexes[name] = index._replace(beyond=beyond)
 
     def forget_unwhole(self, name, parts):
-        """Note that unwhole parts of a store were freed.
+        """Record that incomplete parts of a store were freed.
 
         Parameters
         ----------
@@ -200,27 +205,28 @@
         self._indexes[name] = index._replace(unwhole=left, beyond=beyond)
 
     def get_place(self, name):
-        """Give the life and the place up to which all is known here."""
+        """Return the epoch and position up to which changes are known here."""
         index = self._indexes.get(name)
         if index is None or index.epoch is None:
             return UNKNOWN
         return index.epoch, index.next
 
     def tell(self, name, epoch, since, now):
-        """Give what another box needs that knows a life up to `since`.
+        """Return the update for another box that knows an epoch up to `since`.
 
         Returns
         -------
         News or None
-            `lost` where the changes do not reach back so far: the list is
-            then to be had from the store, whose link is wider than ours.
+            `lost` is set if the changes do not reach back so far: the box then
+            gets the list from the store, whose link is wider than that between
+            boxes.
         """
         index = self._indexes.get(name)
         if index is None or index.epoch is None:
             return None
         changes = None
         if index.epoch == epoch:
-            changes = find_changes(index, since)
+            changes = list_changes(index, since)
         return News(
             epoch=index.epoch,
             next=index.next,
@@ -231,7 +237,7 @@
         )
 
     def add_read(self, name, space, parts, now):
-        """Note that a target has read parts for a request of ours."""
+        """Record that a target has read parts for a request of this box."""
         index = self._indexes.get(name)
         if index is None:
             index = Index(None, 0, {}, now, now)
@@ -240,79 +246,79 @@
             index.kept[(space, part.name)] = part.tokens
 
     def may_fetch(self, name, now):
-        """Tell whether parts of a store may be offered at `now`."""
+        """Return whether parts of a store may be offered at `now`."""
         index = self._indexes.get(name)
         if index is None or index.clock_ms is None:
             return False
-        return now - index.confirmed < LEASE_S - LEAST_LEFT_S
+        return now - index.confirmed < LEASE_S - MIN_LEFT_S
 
     def may_save(self, name, now):
-        """Tell whether parts may be written into a store at `now`."""
+        """Return whether parts may be written into a store at `now`."""
         index = self._indexes.get(name)
         if index is None or not self.may_fetch(name, now):
             return False
         return index.used > 0 or now - index.first_seen >= SETTLE_S
 
 
-def count_room(tokens):
-    """Give the tokens of room that a part takes in a store.
+def count_memory(tokens):
+    """Return the tokens of memory that a part takes in a store.
 
-    >>> count_room(16), count_room(17)
+    >>> count_memory(16), count_memory(17)
     (16, 32)
     """
     return -(-tokens // BLOCK_TOKENS) * BLOCK_TOKENS
 
 
-def count_unwhole(news):
-    """Give the tokens of room that unwhole parts of a list take."""
-    return sum(row.room for row in news.unwhole)
+def count_incomplete(update):
+    """Return the tokens of memory that incomplete parts of a list take."""
+    return sum(row.room for row in update.unwhole)
 
 
-def find_missed(index, news):
-    """Give the changes that lead from what is known to a whole list.
+def diff_list(index, update):
+    """Return the changes from the known contents to those of a full list.
 
     >>> index = Index(1, 9, {('s', 'a'): 5, ('s', 'b'): 5}, 0, 0)
     >>> listed = Change('s', 'b', 5), Change('s', 'c', 7)
-    >>> for change in find_missed(index, News(1, 9, False, listed, True)):
+    >>> for change in diff_list(index, News(1, 9, False, listed, True)):
     ...     print(change)
     Change(space='s', part='a', tokens=0)
     Change(space='s', part='c', tokens=7)
     """
-    listed = {(row.space, row.part): row.tokens for row in news.changes}
+    listed = {(row.space, row.part): row.tokens for row in update.changes}
     gone = [Change(*key, 0) for key in index.kept if key not in listed]
     new = [
         row
-        for row in news.changes
+        for row in update.changes
         if index.kept.get((row.space, row.part)) != row.tokens
     ]
     return (*gone, *new)
 
 
-def add_batch(batches, news, changes):
-    """Add the changes that news brought to those kept for other boxes."""
-    if news.whole and not batches:
-        # Nobody can go on from an earlier place: what came before is in
-        # the list, in no order.
-        return ((news.next, ()),)
+def add_batch(batches, update, changes):
+    """Return the batches for other boxes, with the changes of an update."""
+    if update.whole and not batches:
+        # No box can continue from an earlier position: earlier changes are in
+        # the list, without their order.
+        return ((update.next, ()),)
     if not changes and batches:
         return batches
-    return (*batches, (news.next, changes))[-MOST_BATCHES:]
+    return (*batches, (update.next, changes))[-MAX_BATCHES:]
 
 
-def find_changes(index, since):
-    """Give the changes after `since`; None where they are gone.
+def list_changes(index, since):
+    """Return the changes after `since`; None if they are no longer kept.
 
     >>> index = Index(1, 9, {}, 0, 0, batches=((5, ()), (9, ('x',))))
-    >>> find_changes(index, 5), find_changes(index, 9)
+    >>> list_changes(index, 5), list_changes(index, 9)
     (('x',), ())
-    >>> find_changes(index, 4) is None
+    >>> list_changes(index, 4) is None
     True
 
-    Who followed another box may stand within a batch, or ahead of this box.
-    What it is told twice does no harm: each change tells what holds after
-    it, and they come in order.
+    A box that followed another one may be within a batch, or ahead of this
+    box. Receiving a change twice is harmless: each states the tokens that are
+    cached after it, and changes are in order.
 
-    >>> find_changes(index, 7), find_changes(index, 12)
+    >>> list_changes(index, 7), list_changes(index, 12)
     (('x',), ())
     """
     if not index.batches or since < index.batches[0][0]:
@@ -322,7 +328,7 @@
 
 
 def apply_change(kept, change):
-    """Apply one event to the map of what is kept, in place."""
+    """Apply one event to the map of cached parts, in place."""
     key = change.space, change.part
     if change.tokens > 0:
         kept[key] = change.tokens
@@ -331,6 +337,6 @@
 
 
 def trim(kept):
-    """Drop the names that were noted first where there are too many."""
-    while len(kept) > MOST_NAMES:
+    """Drop the names that were added first if there are too many."""
+    while len(kept) > MAX_NAMES:
         kept.pop(next(iter(kept)))
--- a/landingspool/decisions/gateway/weights.py
+++ b/landingspool/decisions/gateway/weights.py
@@ -1,34 +1,34 @@
-"""Which weights are named, and which targets lack or load them.
+"""Tracks published versions of weights, and which targets lack or load them.
 
-Each version has a bound of its own, from its naming on, after which a target
-without it is not used.  And a target that is about to load gets only the
-requests that end before that.
+Each version has a deadline of its own, counted from its publication, after
+which a target without it is not used.  A target that is about to load gets
+only requests that end before that.
 """
 
 import typing
 
-# Seconds after a version was named from which targets that lack it are put
-# behind, by so many seconds: answers on old weights are worth a fifth less,
-# but the few targets that have the new ones have to read all prompts anew.
-# With much more all boxes send to these what they can't read in time.
+# Seconds after a version was published from which on targets without it get a
+# penalty, and that penalty in seconds: answers on old weights are worth a
+# fifth less, but the few targets with the new ones have to read all prompts
+# anew.  With a much higher penalty all boxes send more to these than they can
+# read in time.
 OLD_WEIGHTS_S = 1.5
-OLD_WEIGHTS_HANDICAP_S = 0.03
-# Seconds before the bound from which on they are not used at all: a request
-# may wait two or three seconds more at the target before it begins.
-BEGIN_S = 3.0
-# Seconds for which a target is believed to load without further word.
+OLD_WEIGHTS_PENALTY_S = 0.03
+# Seconds before the deadline from which on such targets are not used at all: a
+# request may wait two or three seconds more at the target before it begins.
+START_MARGIN_S = 3.0
+# Seconds for which a target counts as loading without a further report.
 LOADING_S = 6.0
-# Seconds that one token takes to make, and that any request takes at least,
-# under usual load.
+# Seconds to generate one token, and the shortest run, under usual load.
 TOKEN_S = 0.002
-SHORTEST_RUN_S = 0.2
+MIN_RUN_S = 0.2
 
 
 class Named(typing.NamedTuple):
-    """The newest version of weights of a model.
+    """The newest published version of a model's weights.
 
-    `history` has (version, when this box heard of it) of all, oldest first:
-    each version has a bound of its own from its naming on.
+    `history` has (version, when this box received it) of all, oldest first:
+    each version has a deadline of its own, counted from its publication.
     """
 
     version: int
@@ -36,28 +36,29 @@
 
 
 class Weights:
-    """The named versions and the loading targets, as one box knows them.
+    """Hold the published versions and the loading targets that one box knows.
 
     Parameters
     ----------
     bound_s : float
-        From a naming until no request may begin on older weights.
+        Seconds from the publication of a version until no request may begin on
+        older weights.
 
     Attributes
     ----------
     named : dict of str to Named
         By model.
-    most_lag_s : float
-        Lag from which on a target is not used any more.
+    max_lag_s : float
+        Lag in seconds from which on a target is not used any more.
     """
 
     def __init__(self, bound_s):
         self.named = {}
-        self.most_lag_s = max(bound_s - BEGIN_S, OLD_WEIGHTS_S)
+        self.max_lag_s = max(bound_s - START_MARGIN_S, OLD_WEIGHTS_S)
         self._loading = {}
 
     def put_version(self, model, version, now):
-        """Take in a named version of weights; True if it is newer.
+        """Record a published version of weights; return True if it is newer.
 
         >>> weights = Weights(12.0)
         >>> weights.put_version('m', 2, 5.0), weights.put_version('m', 1, 6.0)
@@ -66,19 +67,19 @@
         known = self.named.get(model)
         if known is not None and version <= known.version:
             return False
-        # The first one read after a start may have been named long ago.
-        heard = now if known is not None else now - OLD_WEIGHTS_S
+        # The first one read after a start may have been published long ago.
+        received = now if known is not None else now - OLD_WEIGHTS_S
         history = known.history if known is not None else ()
-        self.named[model] = Named(version, (*history, (version, heard)))
+        self.named[model] = Named(version, (*history, (version, received)))
         return True
 
     def is_replaced(self, model, version):
-        """Tell whether a newer version than this one (or None) is named."""
+        """Return whether a newer version than this (or None) is published."""
         named = self.named.get(model)
         return named is not None and (version or 0) < named.version
 
     def find_lag(self, model, has, now):
-        """Give the seconds since the first version that a target missed.
+        """Return the seconds since the first version that a target missed.
 
         Parameters
         ----------
@@ -95,15 +96,18 @@
         if named is None:
             return 0.0
         has = has or 0
-        missed = [heard for version, heard in named.history if version > has]
+        missed = [
+            received for version, received in named.history if version > has
+        ]
         return now - min(missed) if missed else 0.0
 
     def put_loading(self, delays, now):
-        """Take in which targets load, or will after so many seconds.
+        """Record which targets load, or will after so many seconds.
 
         Parameters
         ----------
         delays : dict of str to float
+            Seconds by name of target.
         """
         self._loading = {
             name: self._loading.get(name, now + delay)
@@ -111,25 +115,26 @@
         }
 
     def end_loading(self, name):
-        """Note that a target has its new weights."""
+        """Record that a target has its new weights."""
         self._loading.pop(name, None)
 
     def is_loading(self, name, prompt, now):
-        """Tell whether a request should not be sent to a target any more.
+        """Return whether a request should not be sent to a target any more.
 
-        One that is about to load still gets what ends before that.
+        A target that is about to load still gets requests that end before
+        that.
         """
         begins = self._loading.get(name)
         if begins is None or now > begins + LOADING_S:
             return False
-        run_s = prompt.tokens_out * TOKEN_S + SHORTEST_RUN_S
+        run_s = prompt.tokens_out * TOKEN_S + MIN_RUN_S
         return now + run_s > begins
 
 
-def find_handicap(lag_s):
-    """Give the seconds by which a target that lags is put behind.
+def compute_penalty(lag_s):
+    """Return the seconds of penalty for a target with such a lag.
 
-    >>> find_handicap(1.4), find_handicap(1.5)
+    >>> compute_penalty(1.4), compute_penalty(1.5)
     (0.0, 0.03)
     """
-    return OLD_WEIGHTS_HANDICAP_S if lag_s >= OLD_WEIGHTS_S else 0.0
+    return OLD_WEIGHTS_PENALTY_S if lag_s >= OLD_WEIGHTS_S else 0.0
--- a/tests/gateway/test_context.py
+++ b/tests/gateway/test_context.py
@@ -1,4 +1,4 @@
-"""Kept context: what is offered, what is saved, and when neither may be."""
+"""Cached context: which parts are offered or saved, and when none may be."""
 
 from landingspool.decisions.gateway import prompts
 from landingspool.decisions.gateway import routes
@@ -19,7 +19,7 @@
 
 
 def make_keeper(address, mbps=1000.0, managed=True):
-    """Give a store of kept context."""
+    """Return a store of cached context."""
     return routes.Keeper(address, 'd', 10_000, mbps, 4, managed, 0.0)
 
 
@@ -27,7 +27,7 @@
 
 
 def make_news(epoch, *parts, whole=True):
-    """Give a store's whole list."""
+    """Return a store's full list."""
     changes = tuple(warmth.Change('m.1', *part) for part in parts)
     return warmth.News(epoch, 0, False, changes, whole, 5000.0)
 
@@ -94,14 +94,14 @@
 def test_namespaces_keep_versions_and_isolated_workspaces_apart():
     walled = routes.Tenancy('w', isolated=True)
     names = {
-        prompts.name_space('m', 1, None),
-        prompts.name_space('m', 2, None),
-        prompts.name_space('m', 1, walled),
-        prompts.name_space('m', 1, routes.Tenancy('v', isolated=True)),
+        prompts.build_namespace('m', 1, None),
+        prompts.build_namespace('m', 2, None),
+        prompts.build_namespace('m', 1, walled),
+        prompts.build_namespace('m', 1, routes.Tenancy('v', isolated=True)),
     }
     assert len(names) == 4
     shared = routes.Tenancy('w')
-    assert prompts.name_space('m', 1, shared) in names
+    assert prompts.build_namespace('m', 1, shared) in names
 
 
 def test_what_another_box_tells_is_as_old_as_its_own_word():
@@ -110,7 +110,7 @@
     member.take('k1', make_news(1, ('a', 500)), 10.0, 10.1)
     told = reader.tell('k1', *member.get_place('k1'), 11.5)
     member.take('k1', told, 11.4, 11.6)
-    end = 10.0 + warmth.LEASE_S - warmth.LEAST_LEFT_S
+    end = 10.0 + warmth.LEASE_S - warmth.MIN_LEFT_S
     assert member.may_fetch('k1', end - 0.2)
     assert not member.may_fetch('k1', end + 0.01)
 
@@ -128,7 +128,7 @@
     known = warmth.Warmth()
     whole = make_news(1, ('a', 500))._replace(whole=True, clock_ms=None)
     known.take('k1', whole, 10.0, 10.1)
-    # The list tells no clock.
+    # The list carries no clock.
     assert not known.may_save('k1', 10.2)
     known.take('k1', make_news(1, whole=False), 10.2, 10.3)
     assert known.may_save('k1', 10.4)
@@ -137,7 +137,7 @@
 
 
 def make_reader(*ends):
-    """Give a directory that heard one part with each of its calls."""
+    """Return an index that received one part with each of its calls."""
     known = warmth.Warmth()
     known.take('k1', make_news(1), 1.0, 1.0)
     for end in ends:
@@ -165,8 +165,9 @@
     reader = make_reader(4)
     news = reader.tell('k1', *warmth.UNKNOWN, 2.0)
     assert news.lost and not news.changes
-    # Nor does a box that was behind go on as if it had missed nothing.
-    late = make_reader(*range(1, warmth.MOST_BATCHES + 5))
+    # A box that is too far behind must not continue as if it had missed
+    # nothing.
+    late = make_reader(*range(1, warmth.MAX_BATCHES + 5))
     assert late.tell('k1', 1, 2, 2.0).lost
 
 
@@ -176,7 +177,7 @@
     news = make_news(1, *((f'p{n}', 17) for n in range(100)))
     known.take('k1', news._replace(unwhole=(half,)), 10.0, 10.0)
     assert known.get('k1').taken == 100 * 32 + 6_000
-    # 1,700 tokens are kept, but 9,200 of 10,000 are taken.
+    # 1,700 tokens are cached, but 9,200 of 10,000 are taken.
     assert plan(known, 10.1).save == ('', '', '')
     known.forget_unwhole('k1', {('m.1', 'z')})
     assert plan(known, 10.1).save == ('k1', 'k1', '')
@@ -212,7 +213,7 @@
 
 
 def test_a_box_that_starts_soon_knows_what_a_store_keeps():
-    """As one of six boxes: 0.65 s from its table on before, 0.11 s since."""
+    """The last of six boxes needs 0.11 s from its table on, and not 0.65 s."""
 
     async def check(deployment):
         events = [['m.1', f'p{n}', 100, 'm'] for n in range(50)]
--- a/tests/gateway/test_lives.py
+++ b/tests/gateway/test_lives.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their id, and what others write as such."""
+"""Targets that restart under their id, and malformed records of targets."""
 
 import json
 
@@ -25,7 +25,7 @@
     'born': BORN,
     'models': [{'name': 'm', 'version': 1}],
 }
-# Fields that no target writes so.
+# Field values that no target writes.
 WRONG = (
     ('service', 3),
     ('service', ''),
@@ -49,7 +49,7 @@
 
 
 def read(target='t', **fields):
-    """Decode an entry with some fields as given."""
+    """Decode an entry with some fields replaced."""
     value = json.dumps({**GOOD, **fields}).encode()
     return catalogue.read_entry(target, value)
 
@@ -116,7 +116,7 @@
 
 
 def targets(hub):
-    """List the ids of the targets that a box may use."""
+    """Return the ids of the targets that a box may use."""
     return hub.view.fleet.list_targets()
 
 
--- a/tests/gateway/test_ordering.py
+++ b/tests/gateway/test_ordering.py
@@ -1,4 +1,4 @@
-"""Orders for new weights: one holder, rising fences, none twice."""
+"""Orders for new weights: one holder, rising fences, no order twice."""
 
 import asyncio
 
@@ -82,10 +82,10 @@
 
 def test_an_append_whose_place_is_not_told_is_no_claim():
     class Client:
-        """Answers with what is no offset."""
+        """Answers without an offset."""
 
         async def fetch(self, *call, **options):
-            """Give a whole answer."""
+            """Return a complete answer."""
             return http.Response(200, {}, b'{}')
 
     store = store_module.Store(Client(), http.Address('127.0.0.1', 9))
@@ -96,7 +96,7 @@
 
 
 def test_boxes_leave_a_free_right_to_the_first_of_them():
-    """Six of six boxes appended a claim before, one does since."""
+    """Without a delay by rank, all of six boxes append a claim."""
 
     async def main():
         async with site.Site(engines=2) as deployment:
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -17,7 +17,7 @@
 
 
 def make_view(count=4, engine=ENGINE):
-    """Give a View with some targets of one service."""
+    """Return a View with some targets of one service."""
     view = view_module.View('d', deployment.Bounds(), 1)
     service = routes.Service('s', engine=engine)
     view.put_table(
@@ -37,7 +37,7 @@
 
 
 def make_work(name='q', prompt=PROMPT):
-    """Give one request."""
+    """Return one request."""
     return plans.Work(name, ROUTE, 's', None, prompt)
 
 
@@ -51,43 +51,43 @@
 
 
 def pick(view, now=10.0, **fields):
-    """Give the name of the target chosen, or None."""
+    """Return the name of the chosen target, or None."""
     plan = view.plan(make_work(**fields), (), now)
     return plan and plan.entry.name
 
 
 def test_all_boxes_choose_one_home_for_a_prompt():
-    homes = {pick(make_view()) for _ in range(9)}
-    assert len(homes) == 1
+    all_preferred = {pick(make_view()) for _ in range(9)}
+    assert len(all_preferred) == 1
 
 
 def test_a_busy_home_is_left():
     view = make_view()
-    home = pick(view)
+    preferred = pick(view)
     for number in range(4):
         plan = view.plan(make_work(f'q{number}'), (), 10.0)
         view.record_sent(plan, make_work(f'q{number}'), 10.0)
     sent = set(view.loads.list_told())
-    assert home in sent
+    assert preferred in sent
     assert len(sent) > 1
 
 
 def test_a_silent_target_gets_no_more():
     view = make_view()
-    home = pick(view)
+    preferred = pick(view)
     plan = view.plan(make_work('first'), (), 10.0)
     view.record_sent(plan, make_work('first'), 10.0)
-    late = 10.0 + view_module.ENGINE_PATIENCE_S + 0.1
-    assert all(pick(view, late, name=f'n{i}') != home for i in range(20))
+    late = 10.0 + view_module.ENGINE_SILENCE_S + 0.1
+    assert all(pick(view, late, name=f'n{i}') != preferred for i in range(20))
 
 
 def test_a_target_that_can_not_be_reached_is_avoided_for_a_time():
     view = make_view()
-    home = pick(view)
-    view.record_loss(home, 10.0, certain=True)
-    # One request in thirty goes to a doubtful target, to learn of it.
-    assert home not in {pick(view, 10.1) for _ in range(200)}
-    assert home in {pick(view, 30.0) for _ in range(200)}
+    preferred = pick(view)
+    view.record_loss(preferred, 10.0, certain=True)
+    # One request in thirty goes to a doubtful target, to detect its recovery.
+    assert preferred not in {pick(view, 10.1) for _ in range(200)}
+    assert preferred in {pick(view, 30.0) for _ in range(200)}
 
 
 def test_the_only_target_is_tried_though_it_failed():
@@ -101,7 +101,7 @@
     view.weights.put_version('m', 1, 1.0)
     view.weights.put_version('m', 2, 10.0)
     put(view, 't1', 2)
-    late = 10.0 + view.weights.most_lag_s
+    late = 10.0 + view.weights.max_lag_s
     assert {pick(view, late, name=f'n{i}') for i in range(9)} == {'t1'}
 
 
@@ -110,7 +110,7 @@
     view.weights.put_version('m', 1, 1.0)
     view.weights.put_version('m', 2, 10.0)
     assert pick(view, 11.0) is not None
-    assert pick(view, 10.0 + view.weights.most_lag_s) is None
+    assert pick(view, 10.0 + view.weights.max_lag_s) is None
 
 
 def test_a_closing_target_still_gets_what_ends_in_time():
@@ -130,7 +130,7 @@
     plan = view.plan(make_work(), (), 10.0)
     assert plan.version is None
     assert not plan.transfer.fetch
-    # Nor do they share what a run of the other version keeps.
+    # They don't share the context of a run on the other version, either.
     other = view.plan(make_work('other'), (), 10.0)
     assert len({plan.space, other.space, 'm.1'}) == 3
 
@@ -176,8 +176,8 @@
     view.weights.put_version('m', 2, 10.0)
     put(view, 't1', 2)
     view.weights.put_version('m', 3, 14.0)
-    late = 10.0 + view.weights.most_lag_s
-    # t0 missed version 2 long ago, though version 3 is young.
+    late = 10.0 + view.weights.max_lag_s
+    # t0 missed version 2 long ago, though version 3 is recent.
     chosen = {
         pick(
             view,
@@ -222,7 +222,7 @@
 
 
 def answer_late(view, count, seconds):
-    """Let some requests be answered, each after so long."""
+    """Let some requests be answered, each after so many seconds."""
     for number in range(count):
         work = make_work(f'late{number}')
         plan = view.plan(work, (), 10.0)
@@ -238,16 +238,17 @@
     answer_late(view, 60, 0.6)
     work = make_work()
     plan = view.plan(work, (), 10.6)
-    # Nothing is known to wait anywhere.
+    # No request is known to wait anywhere.
     assert plan.wait_s < 0.05
     assert plan.pressure > 1.2
     assert not view.is_admitted(plan, work)
-    # It is not for ever: some seconds later the next ones are tried.
+    # The refusals are temporary: some seconds later requests are admitted
+    # again.
     assert view.plan(work, (), 14.0).pressure < 0.5
 
 
 def test_engines_of_a_size_that_are_sick_do_not_hold_their_requests():
-    """Before, all 50 requests went on to the sick one."""
+    """If a split ignores health, all 50 requests go to a failing engine."""
     view = make_view(5)
     for entry in list(view.fleet.entries.values()):
         view.fleet.put(entry._replace(slots=64))
@@ -267,5 +268,5 @@
         plan = view.plan(make_work('first'), (), 10.0)
         entry = view.fleet.entries[name]
         view.record_sent(plan._replace(entry=entry), make_work(name), 10.0)
-    late = 10.0 + view_module.ENGINE_PATIENCE_S + 0.1
+    late = 10.0 + view_module.ENGINE_SILENCE_S + 0.1
     assert pick(view, late, prompt=short) not in {None, *names}
