--- a/landingspool/decisions/gateway/bars.py
+++ b/landingspool/decisions/gateway/bars.py
@@ -10,7 +10,7 @@
 
 from landingspool.decisions.gateway import coldness as coldness_module
 from landingspool.decisions.gateway import evacuation
-from landingspool.decisions.gateway import homes
+from landingspool.decisions.gateway import allowed_regions
 from landingspool.decisions.gateway import leaving as leaving_module
 from landingspool.decisions.gateway import limits as limits_module
 from landingspool.decisions.gateway import rests as rests_module
@@ -64,7 +64,7 @@
     def find_limits(self, work, table):
         """Give the Limits of a request."""
         return Limits(
-            homes.find_regions(work.route, work.tenancy),
+            allowed_regions.get_allowed_regions(work.route, work.tenancy),
             find_bound(table, work.service),
         )
 
@@ -87,7 +87,9 @@
 
     def _find_lasting(self, entry, limits):
         """Give what forbids it whatever was sent there before."""
-        if not homes.is_home(entry.domain, limits.regions, self.regions):
+        if not allowed_regions.is_domain_allowed(
+            entry.domain, limits.regions, self.regions
+        ):
             return 'no_home'
         if self.evacuation.holds(entry.domain):
             return 'evacuated'
@@ -158,11 +160,13 @@
 
     def list_keepers(self, work, table):
         """Give the stores, by address, in which its context may be kept."""
-        regions = homes.find_regions(work.route, work.tenancy)
+        regions = allowed_regions.get_allowed_regions(work.route, work.tenancy)
         return {
-            address: keeper
-            for address, keeper in table.keepers.items()
-            if homes.is_home(keeper.domain, regions, self.regions)
+            address: context_store
+            for address, context_store in table.context_stores.items()
+            if allowed_regions.is_domain_allowed(
+                context_store.domain, regions, self.regions
+            )
         }
 
     def withdraw_evacuation(self, domain, entries, table, now):
--- a/landingspool/decisions/gateway/choice.py
+++ b/landingspool/decisions/gateway/choice.py
@@ -104,7 +104,7 @@
     entry: typing.Any
     load: Load
     health: health_module.Health
-    kept: int = 0
+    cached: int = 0
     stored: int = 0
     fetch_s: float = 0.0
     penalty_s: float = 0.0
@@ -130,7 +130,7 @@
 
     entry: typing.Any
     expected_s: float
-    kept: int
+    cached: int
     candidates: int
     wait_s: float = 0.0
 
@@ -172,7 +172,9 @@
         best = min(scored)
     seconds, _, candidate = best
     wait = estimate_wait(candidate)
-    return Chosen(candidate.entry, seconds, candidate.kept, len(usable), wait)
+    return Chosen(
+        candidate.entry, seconds, candidate.cached, len(usable), wait
+    )
 
 
 def list_usable(candidates, now, silence_timeout_s):
@@ -218,8 +220,8 @@
         busy /= slots
         seconds = PLAIN_WORK_S * (1.0 + busy)
     else:
-        kept = max(candidate.kept, candidate.stored)
-        read = prompts.count_read(prompt, kept)
+        cached = max(candidate.cached, candidate.stored)
+        read = prompts.count_read(prompt, cached)
         seconds = read / prompts.READ_TOKENS_S + candidate.fetch_s
         seconds += estimate_wait(candidate)
     # Some routes have failures of their own, so only failures above the lowest
--- a/landingspool/decisions/gateway/warmth.py
+++ b/landingspool/decisions/gateway/context_index.py
@@ -46,7 +46,7 @@
     tokens: int
 
 
-class Unwhole(typing.NamedTuple):
+class IncompletePart(typing.NamedTuple):
     """A part that is being written, or whose write was cut off.
 
     `room` is the memory that it takes, in tokens.
@@ -58,7 +58,7 @@
     room: int
 
 
-class Index(typing.NamedTuple):
+class CacheContents(typing.NamedTuple):
     """Contents of one target's or store's cache.
 
     Attributes
@@ -67,7 +67,7 @@
         Number of its incarnation; None before it was received.
     next : int
         Position at which the next call for events begins.
-    kept : dict of tuple to int
+    cached : dict of tuple to int
         Tokens by (namespace, part name).
     confirmed : float
         When the newest answer was requested, on this box's clock.
@@ -79,30 +79,30 @@
         Tokens of memory that the complete parts take, as of the newest answer.
     batches : tuple of tuple
         The newest changes, each with the `next` that they led to.
-    unwhole : tuple of Unwhole
+    incomplete : tuple of IncompletePart
         Of the newest full list.
-    beyond : int
+    extra : int
         Tokens of memory that were taken beside `used` at the last count.
     """
 
     epoch: int | None
     next: int
-    kept: dict
+    cached: dict
     confirmed: float
     first_seen: float
     clock_ms: float | None = None
     used: int = 0
     batches: tuple = ()
-    unwhole: tuple = ()
-    beyond: int = 0
+    incomplete: tuple = ()
+    extra: int = 0
 
     @property
     def taken(self):
         """Tokens of memory that are taken, as far as is known."""
-        return self.used + self.beyond
+        return self.used + self.extra
 
 
-class News(typing.NamedTuple):
+class CacheUpdate(typing.NamedTuple):
     """An answer to a call for events, or a full list (`whole`).
 
     `age_s` is how many seconds ago the target or store was asked, if another
@@ -116,10 +116,10 @@
     whole: bool = False
     clock_ms: float | None = None
     age_s: float = 0.0
-    unwhole: tuple[Unwhole, ...] = ()
+    incomplete: tuple[IncompletePart, ...] = ()
 
 
-class Warmth:
+class ContextIndex:
     """Hold the contents of all caches that one box knows."""
 
     def __init__(self):
@@ -129,10 +129,10 @@
         """Return the contents of a target or store, or None."""
         return self._indexes.get(name)
 
-    def kept(self, name):
+    def cached(self, name):
         """Return what a target is assumed to have cached, by (space, part)."""
         index = self._indexes.get(name)
-        return index.kept if index is not None else {}
+        return index.cached if index is not None else {}
 
     def forget(self, name):
         """Discard the contents of a target or store that is gone."""
@@ -153,23 +153,23 @@
             # Overtaken by a newer update: parts in it may be gone.
             return False
         if is_new:
-            index = Index(update.epoch, update.next, {}, now, now)
+            index = CacheContents(update.epoch, update.next, {}, now, now)
         changes = diff_list(index, update) if update.whole else update.changes
-        kept = index.kept
+        cached = index.cached
         for change in changes:
-            apply_change(kept, change)
-        trim(kept)
+            apply_change(cached, change)
+        trim(cached)
         self._indexes[name] = index._replace(
             next=update.next,
             confirmed=sent - update.age_s,
             # A list carries no clock, and offers need one.
             clock_ms=update.clock_ms,
-            used=sum(map(count_memory, kept.values())),
+            used=sum(map(count_memory, cached.values())),
             batches=add_batch(
                 () if is_new else index.batches, update, changes
             ),
-            unwhole=update.unwhole if update.whole else index.unwhole,
-            beyond=count_incomplete(update) if update.whole else index.beyond,
+            incomplete=update.incomplete if update.whole else index.incomplete,
+            extra=count_incomplete(update) if update.whole else index.extra,
         )
         return not update.whole and (update.lost or is_new)
 
@@ -186,10 +186,10 @@
         index = self._indexes.get(name)
         if index is None or index.epoch != epoch:
             return
-        beyond = max(taken - index.used, 0)
-        self._indexes[name] = index._replace(beyond=beyond)
+        extra = max(taken - index.used, 0)
+        self._indexes[name] = index._replace(extra=extra)
 
-    def forget_unwhole(self, name, parts):
+    def forget_incomplete(self, name, parts):
         """Record that incomplete parts of a store were freed.
 
         Parameters
@@ -199,12 +199,14 @@
         """
         index = self._indexes[name]
         left = tuple(
-            row for row in index.unwhole if (row.space, row.part) not in parts
+            row
+            for row in index.incomplete
+            if (row.space, row.part) not in parts
         )
-        beyond = sum(row.room for row in left)
-        self._indexes[name] = index._replace(unwhole=left, beyond=beyond)
+        extra = sum(row.room for row in left)
+        self._indexes[name] = index._replace(incomplete=left, extra=extra)
 
-    def get_place(self, name):
+    def get_position(self, name):
         """Return the epoch and position up to which changes are known here."""
         index = self._indexes.get(name)
         if index is None or index.epoch is None:
@@ -216,7 +218,7 @@
 
         Returns
         -------
-        News or None
+        CacheUpdate or None
             `lost` is set if the changes do not reach back so far: the box then
             gets the list from the store, whose link is wider than that between
             boxes.
@@ -227,7 +229,7 @@
         changes = None
         if index.epoch == epoch:
             changes = list_changes(index, since)
-        return News(
+        return CacheUpdate(
             epoch=index.epoch,
             next=index.next,
             lost=changes is None,
@@ -240,10 +242,10 @@
         """Record that a target has read parts for a request of this box."""
         index = self._indexes.get(name)
         if index is None:
-            index = Index(None, 0, {}, now, now)
+            index = CacheContents(None, 0, {}, now, now)
             self._indexes[name] = index
         for part in parts:
-            index.kept[(space, part.name)] = part.tokens
+            index.cached[(space, part.name)] = part.tokens
 
     def may_fetch(self, name, now):
         """Return whether parts of a store may be offered at `now`."""
@@ -271,25 +273,25 @@
 
 def count_incomplete(update):
     """Return the tokens of memory that incomplete parts of a list take."""
-    return sum(row.room for row in update.unwhole)
+    return sum(row.room for row in update.incomplete)
 
 
 def diff_list(index, update):
     """Return the changes from the known contents to those of a full list.
 
-    >>> index = Index(1, 9, {('s', 'a'): 5, ('s', 'b'): 5}, 0, 0)
+    >>> index = CacheContents(1, 9, {('s', 'a'): 5, ('s', 'b'): 5}, 0, 0)
     >>> listed = Change('s', 'b', 5), Change('s', 'c', 7)
-    >>> for change in diff_list(index, News(1, 9, False, listed, True)):
+    >>> for change in diff_list(index, CacheUpdate(1, 9, False, listed, True)):
     ...     print(change)
     Change(space='s', part='a', tokens=0)
     Change(space='s', part='c', tokens=7)
     """
     listed = {(row.space, row.part): row.tokens for row in update.changes}
-    gone = [Change(*key, 0) for key in index.kept if key not in listed]
+    gone = [Change(*key, 0) for key in index.cached if key not in listed]
     new = [
         row
         for row in update.changes
-        if index.kept.get((row.space, row.part)) != row.tokens
+        if index.cached.get((row.space, row.part)) != row.tokens
     ]
     return (*gone, *new)
 
@@ -308,7 +310,7 @@
 def list_changes(index, since):
     """Return the changes after `since`; None if they are no longer kept.
 
-    >>> index = Index(1, 9, {}, 0, 0, batches=((5, ()), (9, ('x',))))
+    >>> index = CacheContents(1, 9, {}, 0, 0, batches=((5, ()), (9, ('x',))))
     >>> list_changes(index, 5), list_changes(index, 9)
     (('x',), ())
     >>> list_changes(index, 4) is None
@@ -327,16 +329,16 @@
     return tuple(change for changes in after for change in changes)
 
 
-def apply_change(kept, change):
+def apply_change(cached, change):
     """Apply one event to the map of cached parts, in place."""
     key = change.space, change.part
     if change.tokens > 0:
-        kept[key] = change.tokens
+        cached[key] = change.tokens
     else:
-        kept.pop(key, None)
+        cached.pop(key, None)
 
 
-def trim(kept):
+def trim(cached):
     """Drop the names that were added first if there are too many."""
-    while len(kept) > MAX_NAMES:
-        kept.pop(next(iter(kept)))
+    while len(cached) > MAX_NAMES:
+        cached.pop(next(iter(cached)))
--- a/landingspool/decisions/gateway/partition.py
+++ b/landingspool/decisions/gateway/engine_split.py
@@ -58,7 +58,7 @@
 SHORT_LOAD_RATIO = 1.4
 
 
-class Partition:
+class EngineSplit:
     """Count the tokens of long and short prompts that one box sees.
 
     Attributes
@@ -100,7 +100,7 @@
     def compute_long_share(self):
         """Return the share of tokens in long prompts; None if too few counted.
 
-        >>> split = Partition()
+        >>> split = EngineSplit()
         >>> split.record(40_000, 1.0)
         >>> split.record(1_000, 1.0)
         >>> round(split.compute_long_share(), 2)
--- a/landingspool/decisions/gateway/fleet.py
+++ b/landingspool/decisions/gateway/fleet.py
@@ -16,17 +16,17 @@
 READY = 'ready'
 DRAINING = 'draining'
 # State of an entry of an earlier incarnation: a later one of the id is known.
-OVER = 'over'
+SUPERSEDED = 'over'
 
 # Seconds after the end of an outage of the store within which a living target
 # is listed again (about two, as operators state), and less than the two
 # seconds after which nothing new may reach a target that is gone.
 GRACE_S = 1.8
 # Separates id and start time in the name of an incarnation; not part of ids.
-LIFE_SIGN = '@'
+INCARNATION_SEPARATOR = '@'
 
 
-class Life(typing.NamedTuple):
+class Incarnation(typing.NamedTuple):
     """One start of a target.
 
     Attributes
@@ -45,22 +45,22 @@
     def name(self):
         """Name under which all state about this incarnation is stored.
 
-        >>> Life('t', 1700).name, Life('t').name
+        >>> Incarnation('t', 1700).name, Incarnation('t').name
         ('t@1700', 't')
         """
         if not self.born:
             return self.target
-        return f'{self.target}{LIFE_SIGN}{self.born}'
+        return f'{self.target}{INCARNATION_SEPARATOR}{self.born}'
 
 
-def read_life(name):
+def parse_incarnation(name):
     """Return the Incarnation that a name stands for.
 
-    >>> read_life('t@1700'), read_life('t')
-    (Life(target='t', born=1700), Life(target='t', born=0))
+    >>> parse_incarnation('t@1700'), parse_incarnation('t')
+    (Incarnation(target='t', born=1700), Incarnation(target='t', born=0))
     """
-    target, _, born = name.partition(LIFE_SIGN)
-    return Life(target, int(born or 0))
+    target, _, born = name.partition(INCARNATION_SEPARATOR)
+    return Incarnation(target, int(born or 0))
 
 
 class Entry(typing.NamedTuple):
@@ -88,7 +88,7 @@
     @property
     def target(self):
         """Id of the target, without the start time."""
-        return read_life(self.name).target
+        return parse_incarnation(self.name).target
 
 
 class Fleet:
@@ -109,12 +109,12 @@
         self._drained = set()
         self._versions = {}
 
-    def find_life(self, target):
+    def get_incarnation(self, target):
         """Return the name of a target's newest incarnation, or None."""
         incarnation = self._incarnations.get(target)
         return incarnation.name if incarnation is not None else None
 
-    def list_lives(self):
+    def list_incarnations(self):
         """Return the names of the newest incarnations, ended ones included."""
         return [
             incarnation.name for incarnation in self._incarnations.values()
@@ -122,7 +122,7 @@
 
     def list_targets(self):
         """Return the ids of the targets that may get new work."""
-        return [read_life(name).target for name in self.entries]
+        return [parse_incarnation(name).target for name in self.entries]
 
     def put(self, entry):
         """Store an entry; return the state that applies from now on.
@@ -131,8 +131,8 @@
         (it may have been partitioned) is used again when it announces itself
         as ready. The entry of an earlier incarnation changes nothing.
         """
-        if not self._begin_incarnation(read_life(entry.name)):
-            return OVER
+        if not self._begin_incarnation(parse_incarnation(entry.name)):
+            return SUPERSEDED
         self.lapsed.pop(entry.name, None)
         if entry.name in self._drained:
             return DRAINING
--- a/landingspool/decisions/gateway/leftovers.py
+++ b/landingspool/decisions/gateway/garbage.py
@@ -10,21 +10,21 @@
 only difference from one that is being written is that it doesn't grow.
 """
 
-from landingspool.decisions.gateway import warmth as warmth_module
+from landingspool.decisions.gateway import context_index as index_module
 
 # Seconds after all targets were first seen on newer weights: the lease of the
 # last offers, and the time within which all boxes have received the change.
-FREE_AFTER_S = warmth_module.LEASE_S + 2.0
+FREE_AFTER_S = index_module.LEASE_S + 2.0
 # Seconds for which an incomplete part has to be unchanged before it is freed:
 # a write takes tenths of a second, and seconds over slow links.
-BROKEN_S = 5.0
+INCOMPLETE_S = 5.0
 # Parts freed by one call: some ten kilobytes, over links of 5 Mbit/s.
 MAX_PARTS = 1000
 # Seconds within which a call that frees parts has to arrive.
-ARRIVE_S = 1.0
+CALL_TIMEOUT_S = 1.0
 
 
-def find_least(model, fleet, services):
+def get_oldest_version(model, fleet, services):
     """Return the oldest version that any target of a model has, or None.
 
     Parameters
@@ -54,7 +54,7 @@
     return not head and version.isdecimal() and int(version) < oldest
 
 
-class Leftovers:
+class OldestVersions:
     """Track since when each model's oldest version is in use."""
 
     def __init__(self):
@@ -68,7 +68,7 @@
         int or None
             The version before which all parts may be freed now.
 
-        >>> versions = Leftovers()
+        >>> versions = OldestVersions()
         >>> versions.record('m', 2, 10.0)
         >>> versions.record('m', 2, 20.0)
         2
@@ -81,7 +81,7 @@
         return oldest if now - known[1] >= FREE_AFTER_S else None
 
 
-def list_old(kept, model, oldest):
+def list_stale(cached, model, oldest):
     """Return the (namespace, part name) of cached parts of old weights.
 
     Parameters
@@ -89,14 +89,14 @@
     cached : dict of tuple to int
         As in context_index.CacheContents.
 
-    >>> list_old({('m.1', 'a'): 5, ('m.2', 'a'): 5}, 'm', 2)
+    >>> list_stale({('m.1', 'a'): 5, ('m.2', 'a'): 5}, 'm', 2)
     [('m.1', 'a')]
     """
-    stale = [key for key in kept if is_stale(key[0], model, oldest)]
+    stale = [key for key in cached if is_stale(key[0], model, oldest)]
     return stale[:MAX_PARTS]
 
 
-class Broken:
+class IncompleteParts:
     """Track since when the incomplete parts of each store are unchanged."""
 
     def __init__(self):
@@ -115,27 +115,27 @@
         list of tuple of str
             The (namespace, part name) that may be freed now.
 
-        >>> row = warmth_module.Unwhole('s', 'a', 100, 800)
-        >>> index = warmth_module.Index(
-        ...     1, 0, {}, 0, 0, unwhole=(row,)
+        >>> row = index_module.IncompletePart('s', 'a', 100, 800)
+        >>> index = index_module.CacheContents(
+        ...     1, 0, {}, 0, 0, incomplete=(row,)
         ... )
-        >>> broken = Broken()
+        >>> broken = IncompleteParts()
         >>> broken.record('k', index, 10.0)
         []
-        >>> broken.record('k', index, 10.0 + BROKEN_S)
+        >>> broken.record('k', index, 10.0 + INCOMPLETE_S)
         [('s', 'a')]
-        >>> grown = index._replace(unwhole=(row._replace(tokens=300),))
+        >>> grown = index._replace(incomplete=(row._replace(tokens=300),))
         >>> broken.record('k', grown, 30.0)
         []
         """
         known = self._since.get(store, {})
         rows = {
             (index.epoch, row): known.get((index.epoch, row), now)
-            for row in index.unwhole
+            for row in index.incomplete
         }
         self._since[store] = rows
         return [
             (row.space, row.part)
             for (_, row), since in rows.items()
-            if now - since >= BROKEN_S
+            if now - since >= INCOMPLETE_S
         ]
--- a/landingspool/decisions/gateway/lateness.py
+++ b/landingspool/decisions/gateway/latency.py
@@ -37,7 +37,7 @@
     at: float
 
 
-class Lateness:
+class LatencyTracker:
     """Moving averages of all services, as one box sees them."""
 
     def __init__(self):
@@ -63,7 +63,7 @@
     def measure(self, service, now):
         """Return how full the targets are; 1 is the most they serve in time.
 
-        >>> tracker = Lateness()
+        >>> tracker = LatencyTracker()
         >>> tracker.measure('s', 0.0)
         0.0
         >>> for n in range(40):
--- a/landingspool/decisions/gateway/plans.py
+++ b/landingspool/decisions/gateway/plans.py
@@ -44,7 +44,7 @@
     pressure : float
         The higher of two ratios: requests at all candidates to their slots,
         and the latency of answers to the objectives.
-    is_scarce : bool
+    all_limited : bool
         Whether all targets that the request might go to advertise limits.
     held : choice.HeldMemory
         Memory that requests hold at all candidates.
@@ -53,7 +53,7 @@
     entry: fleet_module.Entry
     expected_s: float
     wait_s: float
-    kept: int
+    cached: int
     read_tokens: int
     candidates: int
     version: int | None
@@ -61,7 +61,7 @@
     transfer: transfers.Transfer
     pressure: float = 0.0
     held: choice.HeldMemory = choice.HeldMemory(0.0, 0.0)
-    is_scarce: bool = False
+    all_limited: bool = False
 
 
 def count_held(work):
--- a/landingspool/decisions/gateway/prompts.py
+++ b/landingspool/decisions/gateway/prompts.py
@@ -56,7 +56,7 @@
     return prompt.parts[:-1]
 
 
-def count_kept(prompt, space, kept):
+def count_kept(prompt, space, cached):
     """Return the number of leading tokens that `cached` covers.
 
     A part helps only if every part before it is complete.
@@ -75,7 +75,7 @@
     """
     total = 0
     for part in prompt.parts:
-        held = min(kept.get((space, part.name), 0), part.tokens)
+        held = min(cached.get((space, part.name), 0), part.tokens)
         total += held
         if held < part.tokens:
             break
--- a/landingspool/decisions/gateway/allowance.py
+++ b/landingspool/decisions/gateway/retry_budget.py
@@ -12,7 +12,7 @@
 USED_SHARE = 0.8
 
 
-class Allowance:
+class RetryBudget:
     """Count first sends and repeats of one service in a sliding window.
 
     Parameters
@@ -45,7 +45,7 @@
         boxes : int
             Boxes that may share the slack: the highest number assumed.
 
-        >>> budget = Allowance(0.2, 5.0, 10.0)
+        >>> budget = RetryBudget(0.2, 5.0, 10.0)
         >>> [budget.take(0.0, 2) for _ in range(3)]
         [True, True, False]
         >>> budget.take(11.0, 2)
--- a/landingspool/decisions/gateway/rollouts.py
+++ b/landingspool/decisions/gateway/rollouts.py
@@ -82,17 +82,17 @@
     )
 
 
-def is_young(lease, now):
+def is_recent(lease, now):
     """Return whether the lease need not be renewed yet.
 
     >>> lease = Lease(4, 10.0, 3.0)
-    >>> is_young(lease, 11.1), is_young(lease, 11.3)
+    >>> is_recent(lease, 11.1), is_recent(lease, 11.3)
     (True, False)
     """
     return now - lease.since < lease.seconds * RENEW_SHARE
 
 
-class Watch:
+class ClaimWatch:
     """Track the newest claim on this box's clock.
 
     Parameters
@@ -121,7 +121,7 @@
     def may_claim(self, holder, now):
         """Return whether the box `holder` may append a claim.
 
-        >>> watch = Watch(3.0)
+        >>> watch = ClaimWatch(3.0)
         >>> watch.may_claim('a', 0.0)
         True
         >>> watch.record(Claim('b', 7), 1.0)
@@ -137,7 +137,7 @@
         return self._claim is not None and self._claim.holder == holder
 
 
-def find_turn(rank):
+def compute_claim_delay(rank):
     """Return the seconds for which a box leaves a free lease to others.
 
     Parameters
@@ -145,7 +145,7 @@
     rank : int
         Of the box in the hash order of all boxes.
 
-    >>> [find_turn(rank) for rank in (0, 2, 194)]
+    >>> [compute_claim_delay(rank) for rank in (0, 2, 194)]
     [0.0, 0.3, 2.0]
     """
     return min(rank * CLAIM_DELAY_S, MAX_CLAIM_DELAY_S)
@@ -270,7 +270,7 @@
     return any(has < version for has in targets.values())
 
 
-def find_room(targets, left):
+def compute_concurrency(targets, left):
     """Return how many targets may be under way at once.
 
     As few as bring all to the new weights in time, since the others have to
@@ -285,19 +285,19 @@
     left : sequence of float
         For each that is behind, the seconds for which it may still be used.
 
-    >>> find_room(50, [12.0] * 50)
+    >>> compute_concurrency(50, [12.0] * 50)
     10
-    >>> find_room(50, [7.0] * 30)
+    >>> compute_concurrency(50, [7.0] * 30)
     10
-    >>> find_room(50, [4.0] * 10 + [9.0] * 40)
+    >>> compute_concurrency(50, [4.0] * 10 + [9.0] * 40)
     12
-    >>> find_room(50, [1.0] * 30)
+    >>> compute_concurrency(50, [1.0] * 30)
     20
-    >>> find_room(5, [9.0] * 5)
+    >>> compute_concurrency(5, [9.0] * 5)
     1
-    >>> find_room(5, [2.4] * 2)
+    >>> compute_concurrency(5, [2.4] * 2)
     2
-    >>> find_room(1, [9.0])
+    >>> compute_concurrency(1, [9.0])
     1
     """
     usual = int(targets * CONCURRENT_SHARE)
--- a/landingspool/decisions/gateway/routes.py
+++ b/landingspool/decisions/gateway/routes.py
@@ -82,7 +82,7 @@
     managed: bool
 
 
-class Keeper(typing.NamedTuple):
+class ContextStore(typing.NamedTuple):
     """A store of cached context.
 
     `first_s` is the wait in seconds before each transfer.
@@ -100,7 +100,7 @@
 class Service(typing.NamedTuple):
     """A group of equivalent targets, which may be engines or a store.
 
-    `engine` or `keeper` is set for those kinds.  `cold` bounds the load
+    `engine` or `context_store` is set for those kinds.  `cold` bounds the load
     of its targets after a start.
     """
 
@@ -108,7 +108,7 @@
     health_path: str = ''
     max_connections: int = 64
     engine: Engine | None = None
-    keeper: Keeper | None = None
+    context_store: ContextStore | None = None
     cold: coldness.Bound = coldness.Bound()
 
 
@@ -146,7 +146,7 @@
         By API key; empty if no key is required.
     keyed : bool
         Whether requests need a key.
-    keepers : dict of str to Keeper
+    context_stores : dict of str to ContextStore
         The stores of cached context by the address that targets use.
     """
 
@@ -156,7 +156,7 @@
     keys: dict
     limits: Limits = Limits()
     keyed: bool = False
-    keepers: dict = {}
+    context_stores: dict = {}
 
 
 def make_table(version, routes, services, keys, limits, keyed):
@@ -175,22 +175,22 @@
     for route in sorted(routes, key=lambda r: -len(r.prefix)):
         hosts[route.host] = (*hosts.get(route.host, ()), route)
     named = {service.name: service for service in services}
-    keepers = {
-        service.keeper.address: service.keeper
+    context_stores = {
+        service.context_store.address: service.context_store
         for service in named.values()
-        if service.keeper is not None
+        if service.context_store is not None
     }
-    return Table(version, hosts, named, keys, limits, keyed, keepers)
+    return Table(version, hosts, named, keys, limits, keyed, context_stores)
 
 
-def find_route(table, host, path):
+def match_route(table, host, path):
     """Return the Route with the longest matching prefix, or None.
 
     >>> route = Route('r', 'h', '/a/', SAFE, 1, 1, 0, (Share('s', 1),))
     >>> table = make_table(1, [route], [], {}, Limits(), False)
-    >>> find_route(table, 'H:80', '/a/b?c').name
+    >>> match_route(table, 'H:80', '/a/b?c').name
     'r'
-    >>> find_route(table, 'h', '/ab') is None
+    >>> match_route(table, 'h', '/ab') is None
     True
     """
     name = host.rsplit(':', 1)[0].lower()
@@ -201,7 +201,7 @@
     return None
 
 
-def find_tenancy(table, route, key):
+def get_tenancy(table, route, key):
     """Return the workspace of a key.
 
     Returns
@@ -211,9 +211,9 @@
 
     >>> table = make_table(1, [], [], {'k': Tenancy('w')}, Limits(), True)
     >>> route = Route('r', 'h', '/a/', SAFE, 1, 1, 0, ())
-    >>> find_tenancy(table, route, 'k') == (Tenancy('w'), True)
+    >>> get_tenancy(table, route, 'k') == (Tenancy('w'), True)
     True
-    >>> find_tenancy(table, route, 'x')
+    >>> get_tenancy(table, route, 'x')
     (None, False)
     """
     tenancy = table.keys.get(key) if key else None
--- a/landingspool/decisions/gateway/transfers.py
+++ b/landingspool/decisions/gateway/transfers.py
@@ -6,8 +6,8 @@
 
 import typing
 
+from landingspool.decisions.gateway import context_index as index_module
 from landingspool.decisions.gateway import prompts
-from landingspool.decisions.gateway import warmth as warmth_module
 from landingspool.decisions import ownership
 
 # Tokens below which a part is not worth a transfer: the wait before it (a miss
@@ -47,7 +47,7 @@
 
     Parameters
     ----------
-    stores : dict of str to routes.Keeper
+    stores : dict of str to routes.ContextStore
         By address.
     index : context_index.ContextIndex
     token_bytes : int
@@ -94,7 +94,7 @@
     holding = [
         address
         for address in readable
-        if index.kept(address).get((space, part.name), 0) >= part.tokens
+        if index.cached(address).get((space, part.name), 0) >= part.tokens
     ]
     return max(holding, key=lambda a: (stores[a].link_mbps, a), default='')
 
@@ -110,7 +110,7 @@
     with_space = [
         address
         for address in writable
-        if index.get(address).taken + warmth_module.count_memory(part.tokens)
+        if index.get(address).taken + index_module.count_memory(part.tokens)
         < stores[address].capacity_tokens * FILL_SHARE
     ]
     if not with_space:
@@ -123,14 +123,14 @@
     clocks = [index.get(address).clock_ms for address in addresses]
     if not clocks:
         return None
-    return min(clocks) + warmth_module.LEASE_S * 1000
+    return min(clocks) + index_module.LEASE_S * 1000
 
 
 def estimate_seconds(tokens, store, token_bytes):
     """Return the seconds that a transfer takes on an idle link.
 
     >>> from landingspool.decisions.gateway import routes
-    >>> store = routes.Keeper('a:1', 'd', 9000, 800.0, 1, True, 0.001)
+    >>> store = routes.ContextStore('a:1', 'd', 9000, 800.0, 1, True, 0.001)
     >>> estimate_seconds(1000, store, 100)
     0.002
     """
--- a/landingspool/decisions/gateway/view.py
+++ b/landingspool/decisions/gateway/view.py
@@ -8,29 +8,29 @@
 import random
 
 from landingspool.decisions.gateway import admission
-from landingspool.decisions.gateway import allowance
 from landingspool.decisions.gateway import bars
 from landingspool.decisions.gateway import choice
+from landingspool.decisions.gateway import context_index as index_module
 from landingspool.decisions.gateway import endings as endings_module
+from landingspool.decisions.gateway import engine_split as split_module
 from landingspool.decisions.gateway import fleet as fleet_module
 from landingspool.decisions.gateway import freshness
 from landingspool.decisions.gateway import health as health_module
-from landingspool.decisions.gateway import lateness
+from landingspool.decisions.gateway import latency
 from landingspool.decisions.gateway import loads as loads_module
 from landingspool.decisions.gateway import neighbours
-from landingspool.decisions.gateway import partition as split_module
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import prompts
 from landingspool.decisions.gateway import reach as reach_module
+from landingspool.decisions.gateway import retry_budget
 from landingspool.decisions.gateway import room as room_module
 from landingspool.decisions.gateway import transfers
-from landingspool.decisions.gateway import warmth as warmth_module
 from landingspool.decisions.gateway import watching as watching_module
 from landingspool.decisions.gateway import weights as weights_module
 
 # Lowest number of boxes that the retry budget is divided by: the deployments
 # have six and seven boxes, and may replace one of them.
-USUAL_BOXES = 8
+MIN_BOXES = 8
 # Seconds without a byte after which a target with a waiting request counts as
 # silent: engines answer within some hundred ms, plain services within 220 ms
 # at most.
@@ -65,20 +65,20 @@
         self.table = None
         self.fleet = fleet_module.Fleet()
         self.loads = loads_module.Loads()
-        self.lateness = lateness.Lateness()
+        self.latency = latency.LatencyTracker()
         self.weights = weights_module.Weights(bounds.version_s)
         self.reach = reach_module.Reach()
         self.watching = watching_module.Watching()
-        self.partition = split_module.Partition()
+        self.engine_split = split_module.EngineSplit()
         self.bars = bars.Bars(bounds, regions or {}, self.rng)
         self.room = room_module.Room(self.fleet, self.bars)
-        self.warmth = warmth_module.Warmth()
+        self.context_index = index_module.ContextIndex()
         self.proof = freshness.Proof(bounds.key_s, bounds.keys_fail_closed)
         self.neighbours = neighbours.Neighbours()
         self.endings = endings_module.Endings()
-        self.boxes = USUAL_BOXES
+        self.boxes = MIN_BOXES
         # Number of other boxes in each domain.
-        self.others = {}
+        self.peers_by_domain = {}
         # Epoch and used tokens of each store, as this box last counted them.
         self.rooms = {}
         self._health = {}
@@ -93,9 +93,9 @@
 
     def put_entry(self, entry, now):
         """Store a target's entry; return the state that applies."""
-        before = self.fleet.find_life(entry.target)
+        before = self.fleet.get_incarnation(entry.target)
         state = self.fleet.put(entry)
-        if state == fleet_module.OVER:
+        if state == fleet_module.SUPERSEDED:
             return state
         if before not in (None, entry.name):
             self.record_over(before, now)
@@ -118,7 +118,7 @@
         """Return the names of the published services."""
         return tuple(self.table.services) if self.table is not None else ()
 
-    def list_ordered(self, model):
+    def list_loadable(self, model):
         """Return the entries of a model's targets that may get load orders."""
         return [
             entry
@@ -133,7 +133,7 @@
         limits = self.bars.find_limits(work, self.table)
         return self.bars.find_bar(entry, limits, now) is None
 
-    def has_open(self, work, now):
+    def has_available(self, work, now):
         """Return whether a request's service has a target not excluded."""
         limits = self.bars.find_limits(work, self.table)
         entries = self.fleet.list_service(work.service)
@@ -184,10 +184,12 @@
         plan = self._make_plan(chosen, work, now, transfers_by_space)
         pressure = max(
             choice.measure_pressure(candidates),
-            self.lateness.measure(work.service, now),
+            self.latency.measure(work.service, now),
+        )
+        all_limited = all(c.limited for c in candidates)
+        return plan._replace(
+            pressure=pressure, held=held, all_limited=all_limited
         )
-        is_scarce = all(c.limited for c in candidates)
-        return plan._replace(pressure=pressure, held=held, is_scarce=is_scarce)
 
     def _pick_by_size(self, candidates, work, held):
         """Return the healthy engines for prompts of this request's size.
@@ -198,13 +200,13 @@
         if work.prompt is None or not candidates:
             return candidates
         taken, slots = choice.count_occupancy(candidates)
-        self.partition.record_headroom(
+        self.engine_split.record_headroom(
             split_module.measure_headroom(taken, slots, len(candidates)),
             held.share,
         )
         stored = max(candidate.stored for candidate in candidates)
         read = prompts.count_read(work.prompt, stored)
-        names = self.partition.pick(read, [c.entry for c in candidates])
+        names = self.engine_split.pick(read, [c.entry for c in candidates])
         if names is None:
             return candidates
         limit_s = work.route.target_latency_s * OVERFLOW_SHARE
@@ -236,16 +238,16 @@
             work.route.priority,
         )
 
-    def find_lag(self, name, model, now):
+    def get_lag(self, name, model, now):
         """Return the seconds since the first version that a target missed."""
         has = self.fleet.get_version(name, model)
-        return self.weights.find_lag(model, has, now)
+        return self.weights.get_lag(model, has, now)
 
-    def find_time_left(self, name, model, now):
+    def get_time_left(self, name, model, now):
         """Return the seconds for which a target's weights remain usable."""
-        return self.weights.max_lag_s - self.find_lag(name, model, now)
+        return self.weights.max_lag_s - self.get_lag(name, model, now)
 
-    def find_kept(self, service):
+    def get_connection_limit(self, service):
         """Return how many connections to one target this box may keep open.
 
         All boxes together keep at most half of what a target accepts, so that
@@ -262,7 +264,7 @@
         if work.prompt is not None:
             tokens = plan.read_tokens
             stored = prompts.count_read(work.prompt, plan.transfer.tokens)
-            self.partition.record(stored, now)
+            self.engine_split.record(stored, now)
             held = plans.count_held(work)
         sent = loads_module.Sent(now, tokens, False, held)
         self.loads.record_sent(plan.entry.name, work.name, sent)
@@ -275,7 +277,7 @@
             # An answer of an earlier incarnation tells nothing about the
             # current one.
             return
-        self.loads.record_heard(name, now)
+        self.loads.record_received(name, now)
         self.reach.record_reached(name, now)
         sent = self.loads.record_first(name, work.name)
         if sent is not None:
@@ -283,12 +285,12 @@
         if sent is None or work.prompt is None:
             return
         objective_s = work.route.target_latency_s
-        self.lateness.record_first(
+        self.latency.record_first(
             work.service, now - sent.at, objective_s, now
         )
         if plan.space:
             parts = prompts.list_shared(work.prompt)
-            self.warmth.add_read(name, plan.space, parts, now)
+            self.context_index.add_read(name, plan.space, parts, now)
 
     def record_answer(self, plan, wait_s, failed):
         """Update a target's health from an answer.
@@ -326,7 +328,7 @@
         for notice in digest.leaving:
             self.bars.leaving.take(notice, digest.box, now)
         for store, counted in digest.rooms.items():
-            self.warmth.record_taken(store, *counted)
+            self.context_index.record_taken(store, *counted)
 
     def _suspect(self, name, now):
         duty = self.watching.is_duty(name)
@@ -369,14 +371,14 @@
         self._health.pop(name, None)
         self.loads.forget(name)
         self.reach.forget(name)
-        self.warmth.forget(name)
+        self.context_index.forget(name)
         self.bars.forget(name)
 
     def _get_retry_budget(self, service):
         known = self._retry_budgets.get(service)
         if known is None:
             bounds = self.bounds
-            known = allowance.Allowance(
+            known = retry_budget.RetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
             )
             self._retry_budgets[service] = known
@@ -405,13 +407,15 @@
         return [
             entry
             for entry in idle or entries
-            if self.find_lag(entry.name, prompt.model, now)
+            if self.get_lag(entry.name, prompt.model, now)
             < self.weights.max_lag_s
         ]
 
     def _make_candidate(self, entry, work, now, transfers_by_space):
-        others = self.neighbours.get_load(entry.name, self.others, now)
-        load = self.loads.measure(entry.name, others)
+        peers_by_domain = self.neighbours.get_load(
+            entry.name, self.peers_by_domain, now
+        )
+        load = self.loads.measure(entry.name, peers_by_domain)
         health = self.get_health(entry.name)
         cold_s = self.bars.coldness.find_left(entry.name, now)
         limited = self.bars.limits.find(entry.name) is not None
@@ -423,8 +427,8 @@
         space = prompts.build_namespace(
             work.prompt.model, version, work.tenancy
         )
-        kept = prompts.count_kept(
-            work.prompt, space, self.warmth.kept(entry.name)
+        cached = prompts.count_kept(
+            work.prompt, space, self.context_index.cached(entry.name)
         )
         transfer = transfers_by_space.get(space)
         if transfer is None:
@@ -434,11 +438,11 @@
             entry,
             load,
             health,
-            kept,
+            cached,
             transfer.tokens,
             transfer.seconds,
             weights_module.compute_penalty(
-                self.find_lag(entry.name, work.prompt.model, now)
+                self.get_lag(entry.name, work.prompt.model, now)
             ),
             self._get_capacity(work.service),
             cold_s=cold_s,
@@ -458,13 +462,13 @@
             version, space = self._get_namespace(chosen.entry.name, work, now)
             if version is not None:
                 transfer = transfers_by_space[space]
-            kept = max(chosen.kept, transfer.tokens)
-            read = prompts.count_read(work.prompt, kept)
+            cached = max(chosen.cached, transfer.tokens)
+            read = prompts.count_read(work.prompt, cached)
         return plans.Plan(
             chosen.entry,
             chosen.expected_s,
             chosen.wait_s,
-            chosen.kept,
+            chosen.cached,
             read,
             chosen.candidates,
             version,
@@ -498,7 +502,7 @@
             work.prompt,
             space,
             self.bars.list_keepers(work, self.table),
-            self.warmth,
+            self.context_index,
             service.engine.token_bytes,
             now,
         )
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -56,7 +56,7 @@
             self._exchange = await self._hub.upstream.open(
                 self._plan.entry.address,
                 routes.may_repeat(self._progress.work.route),
-                self._view.find_kept(self._progress.work.service),
+                self._view.get_connection_limit(self._progress.work.service),
             )
         except upstream_module.Broken as error:
             reason = str(error)
@@ -295,7 +295,7 @@
                 return self._lose('paused', outcomes.Cause.PAUSED)
             if not data:
                 break
-            self._view.loads.record_heard(name, self._hub.clock())
+            self._view.loads.record_received(name, self._hub.clock())
             self._record_version(await stream.take(data))
             if stream.events and not stream.noted:
                 stream.noted = True
@@ -398,7 +398,7 @@
     return {
         'target': plan.entry.name,
         'expected_s': round(plan.expected_s, 4),
-        'kept': plan.kept,
+        'kept': plan.cached,
         'fetched': plan.transfer.tokens,
         'read': plan.read_tokens,
         'saved': sum(1 for address in plan.transfer.save if address),
--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/hearing.py
@@ -83,7 +83,7 @@
         leaving = marks.take_all(self._leaving.fresh)
         if not limits and not leaving:
             return
-        lives = self._hub.view.fleet.list_lives()
+        lives = self._hub.view.fleet.list_incarnations()
         names = {neighbours.code_target(name): name for name in lives}
         self._look_at_limits(limits, names)
         self._look_at_leaving(leaving, names)
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -191,7 +191,7 @@
         self.metrics.record_targets(
             len(bars.coldness.list_cold(tick.now)),
             bars.evacuation.describe(tick.now),
-            self.view.partition.is_on,
+            self.view.engine_split.is_on,
         )
         self.metrics.barred.set(len(self.view.endings.list_barred(tick.now)))
 
@@ -216,8 +216,8 @@
         """Give the tokens and the age of what is known of each store."""
         table = self.view.table
         found = {}
-        for address in table.keepers if table is not None else ():
-            index = self.view.warmth.get(address)
+        for address in table.context_stores if table is not None else ():
+            index = self.view.context_index.get(address)
             if index is not None:
                 age_s = round(now - index.confirmed, 2)
                 found[address] = [index.used, age_s]
--- a/landingspool/gateway/marks.py
+++ b/landingspool/gateway/marks.py
@@ -92,7 +92,7 @@
     def _record_barred(self, fingerprint):
         now = self._hub.clock()
         words = self._endings.list_notices(fingerprint, now)
-        lives = self._hub.view.fleet.list_lives()
+        lives = self._hub.view.fleet.list_incarnations()
         found = {neighbours.code_target(name): name for name in lives}
         self._hub.recorder.record(
             'barred',
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -61,7 +61,7 @@
         known = name in view.reach.list_failed()
         try:
             await self._hub.upstream.probe(
-                entry.address, view.find_kept(entry.service)
+                entry.address, view.get_connection_limit(entry.service)
             )
         except upstream.Broken as error:
             if name in view.fleet.entries:
--- a/tests/gateway/test_standstill.py
+++ b/tests/gateway/test_standstill.py
@@ -142,6 +142,6 @@
         assert [a.status for a in answers] == [200] * len(works)
         for entry in hub.view.fleet.entries.values():
             assert hub.view.get_health(entry.name).wait_s < STANDSTILL_S / 2
-        assert hub.view.lateness.measure('engine', hub.clock()) < 1.0
+        assert hub.view.latency.measure('engine', hub.clock()) < 1.0
 
     run(check)
