--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/hearing.py
@@ -136,7 +136,7 @@
         used = {name: self._limits.find_used(name, now) for name in named}
         self._hub.metrics.record_limits(named, used, now)
         self._hub.metrics.record_leaving(self.list_leaving(now))
-        self._hub.metrics.record_resting(self._rests.list_resting(now))
+        self._hub.metrics.record_backoffs(self._rests.list_resting(now))
 
     def list_leaving(self, now):
         """Give the seconds since listed targets said that they leave."""
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -204,7 +204,7 @@
     async def _send(self, entry, order, report):
         if not rollouts.is_held(self._lease, self._hub.clock()):
             return rollouts.REFUSED
-        if not self._hub.beat.is_fresh(self._hub.clock()):
+        if not self._hub.heartbeat.is_fresh(self._hub.clock()):
             return rollouts.REFUSED
         if not self._hub.view.may_call(entry.name, self._hub.clock()):
             # It may have said so since the order was planned.
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -63,7 +63,7 @@
             await self._hub.upstream.probe(
                 entry.address, view.get_connection_limit(entry.service)
             )
-        except upstream.Broken as error:
+        except upstream.ExchangeError as error:
             if name in view.fleet.entries:
                 self.record_failed(name, str(error))
             return
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -31,7 +31,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `view`, `peering`, `runners`, `beat`, `recorder`,
+        The box's parts: `view`, `peering`, `runners`, `heartbeat`, `recorder`,
         `clock`.
     """
 
@@ -82,7 +82,7 @@
         if index is None or not view.context_index.may_fetch(address, now):
             return
         parts = garbage.list_stale(index.cached, model, least)
-        if not parts or not self._hub.beat.is_fresh(now):
+        if not parts or not self._hub.heartbeat.is_fresh(now):
             return
         age_s = now - index.confirmed
         until_ms = index.clock_ms + (age_s + garbage.CALL_TIMEOUT_S) * 1000
@@ -134,7 +134,9 @@
         sent = hub.clock()
         news = await hub.runners.read_list(boot.parse_address(address))
         now = hub.clock()
-        if isinstance(news, runners.Unanswered) or not hub.beat.is_fresh(now):
+        if isinstance(news, runners.Unanswered) or not hub.heartbeat.is_fresh(
+            now
+        ):
             return
         self._listed[address] = now
         if news.epoch != index.epoch:
--- a/tests/gateway/test_standstill.py
+++ b/tests/gateway/test_standstill.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from landingspool import uptime
+from landingspool import boot_clock
 from tests.gateway import site
 
 # Over the bound for keys (5 s), so that no proof outlasts it.
@@ -30,7 +30,7 @@
         async with site.Site(**kinds) as deployment:
             await test(deployment)
 
-    uptime.run(main())
+    boot_clock.run(main())
 
 
 def count_ran(deployment):
