--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -57,7 +57,7 @@
             self._exchange = await self._hub.upstream.open(
                 self._plan.entry.address,
                 routes.may_repeat(self._state.work.route),
-                self._view.find_kept(self._state.work.service),
+                self._view.get_connection_limit(self._state.work.service),
             )
         except upstream_module.ExchangeError as error:
             reason = str(error)
@@ -299,7 +299,7 @@
                 return self._report_lost('paused', outcomes.Cause.PAUSED)
             if not data:
                 break
-            self._view.loads.record_heard(name, self._hub.clock())
+            self._view.loads.record_received(name, self._hub.clock())
             self._record_version(await stream.take(data))
             if stream.any_sent and not stream.first_recorded:
                 stream.first_recorded = True
@@ -406,7 +406,7 @@
     return {
         'target': plan.entry.name,
         'expected_s': round(plan.expected_s, 4),
-        'kept': plan.kept,
+        'kept': plan.cached,
         'fetched': plan.transfer.tokens,
         'read': plan.read_tokens,
         'saved': sum(1 for address in plan.transfer.save if address),
--- a/tests/gateway/test_lives.py
+++ b/tests/gateway/test_lives.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their id, and what others write as such."""
+"""Targets that restart under their id, and malformed records of targets."""
 
 import json
 
@@ -6,8 +6,8 @@
 from hypothesis import strategies
 import pytest
 
+from landingspool.decisions.gateway import context_index
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import warmth
 from landingspool.platform import catalogue
 from landingspool.platform import store as store_module
 from tests.gateway import site
@@ -25,7 +25,7 @@
     'born': BORN,
     'models': [{'name': 'm', 'version': 1}],
 }
-# Fields that no target writes so.
+# Field values that no target writes.
 WRONG = (
     ('service', 3),
     ('service', ''),
@@ -49,7 +49,7 @@
 
 
 def read(target='t', **fields):
-    """Decode an entry with some fields as given."""
+    """Decode an entry with some fields replaced."""
     value = json.dumps({**GOOD, **fields}).encode()
     return catalogue.read_entry(target, value)
 
@@ -67,7 +67,7 @@
     view = test_view.make_view(0)
     view.put_entry(read(models=[{'name': 'm', 'version': 3}]), 1.0)
     view.put_entry(read(born=BORN + 5), 2.0)
-    name = view.fleet.find_life('t')
+    name = view.fleet.get_incarnation('t')
     assert view.fleet.get_version(name, 'm') == 1
 
 
@@ -78,18 +78,20 @@
     both.record_sent(plan, test_view.make_work(), 1.0)
     for view in (both, second):
         view.put_entry(read(born=BORN + 5), 2.0)
-    assert both.put_entry(read(state='draining'), 3.0) == fleet.OVER
+    assert both.put_entry(read(state='draining'), 3.0) == fleet.SUPERSEDED
     both.record_first(plan, test_view.make_work(), 3.0)
     both.record_loss(plan.entry.name, 3.0, certain=True)
     both.fleet.record_version(plan.entry.name, 'm', 9)
-    news = warmth.News(7, 3, False, (warmth.Change('m.1', 'a', 2500),))
-    both.warmth.take(plan.entry.name, news, 3.0, 3.0)
+    news = context_index.CacheUpdate(
+        7, 3, False, (context_index.Change('m.1', 'a', 2500),)
+    )
+    both.context_index.take(plan.entry.name, news, 3.0, 3.0)
     one, other = (
         view.plan(test_view.make_work('next'), (), 4.0)
         for view in (both, second)
     )
     assert one == other
-    assert one.kept == 0
+    assert one.cached == 0
 
 
 def test_a_reborn_target_serves_again_and_old_connections_are_not_used():
@@ -116,7 +118,7 @@
 
 
 def targets(hub):
-    """List the ids of the targets that a box may use."""
+    """Return the ids of the targets that a box may use."""
     return hub.view.fleet.list_targets()
 
 
