--- a/landingspool/decisions/gateway/absence.py
+++ b/landingspool/decisions/gateway/absence.py
@@ -1,13 +1,14 @@
-"""Leaves the time for which a box did not run out of what it believes.
+"""Excludes the time for which a box stalled from its view of other processes.
 
-Peers were silent for it only because it did not listen, and what they sent
-meanwhile is still to be read.  Times that others count by, too (rests,
-limits, leases, deadlines, the proof of the table), go on.
+Peers were silent only because this box did not read, and what they sent during
+the stall is still to be read.  Times that other processes count, too
+(back-offs, limits, leases, deadlines, the proof of the table), are not
+extended.
 """
 
 
 def exclude_stall(view, seconds, now):
-    """Leave out so many seconds that ended at `now`.
+    """Exclude a stall of some seconds that ended at `now`.
 
     Parameters
     ----------
@@ -19,5 +20,5 @@
     view.neighbours.exclude_stall(seconds)
     view.watching.exclude_stall(seconds)
     view.fleet.exclude_stall(seconds)
-    # What it may send to limited targets the others could not know.
+    # Peers did not know what this box would send to limited targets.
     view.bars.shares.restart(now)
--- a/landingspool/decisions/gateway/bars.py
+++ b/landingspool/decisions/gateway/bars.py
@@ -1,9 +1,10 @@
-"""What keeps a request from a target, however well that would serve it.
+"""Decides which targets a request must not be sent to.
 
-The homes of the request, an evacuation of the target's domain, what a cold
-target bears, and what targets say of themselves.  Asked when a target is
-chosen and once more at the moment of sending, since a connection may have to
-come up in between.
+A target is excluded by the allowed regions of the request, by an evacuation of
+its domain, by the request rate that a cold target can take, and by what it
+announces about itself: a limit, that it is leaving, or a back-off.  The check
+is made when a target is chosen and again just before sending, since a
+connection may have to be opened between the two.
 """
 
 import typing
@@ -17,21 +18,21 @@
 from landingspool.decisions.gateway import shares as shares_module
 
 
-# What forbids a target that has got as many requests as it takes.
+# Exclusion of a target whose advertised limit is used up.
 LIMITED = 'limited'
-# What forbids a target that has said that it leaves.
+# Exclusion of a target that has announced that it is leaving.
 LEAVING = 'leaving'
-# What forbids a target that has asked this box for rest.
+# Exclusion of a target that has asked this box to back off.
 RESTING = 'resting'
-# Of these bars it is known when they end: callers are told when to return.
-PASSING = (LIMITED, RESTING)
+# Exclusions whose end is known: callers are told when to retry.
+TEMPORARY = (LIMITED, RESTING)
 
 
 class Limits(typing.NamedTuple):
-    """What the bars ask of a request, the same for all targets.
+    """What a request requires of a target, the same for all targets.
 
-    `regions` is None where it may run anywhere; `cold` is what the targets
-    of its service bear while they are cold.
+    `regions` is None if any region is allowed.  `cold` is the request rate
+    that the targets of the service can take while they are cold.
     """
 
     regions: frozenset | None
@@ -39,7 +40,7 @@
 
 
 class Bars:
-    """The bars as one box knows them.
+    """The exclusions in force, as known to one box.
 
     Parameters
     ----------
@@ -62,102 +63,107 @@
         self.rests = rests_module.Rests(rng)
 
     def find_limits(self, work, table):
-        """Give the Limits of a request."""
+        """Return the Limits of a request."""
         return Limits(
             homes.find_regions(work.route, work.tenancy),
-            find_bound(table, work.service),
+            get_cold_bound(table, work.service),
         )
 
     def find_bar(self, entry, limits, now):
-        """Give what forbids that a target gets a request; None: nothing."""
-        bar = self._find_lasting(entry, limits)
-        if bar is not None:
-            return bar
-        # For as long as it asked: kept away from like a sick one for half a
-        # second, one that asked for 3 s got 9 requests in them.
+        """Return why a target must not get a request, or None if it may."""
+        exclusion = self._get_lasting(entry, limits)
+        if exclusion is not None:
+            return exclusion
+        # The back-off is honored for its whole length.  With only the
+        # half-second pause after a failure, a target that asked for 3 s got 9
+        # requests in that time.
         if not self.rests.may_send(entry.name, now):
             return RESTING
         if not self.coldness.may_send(entry.name, limits.cold, now):
             return 'cold'
-        # What a target takes is bounded over all boxes: a box that went by
-        # its own sends alone sent each target seven times as much.
+        # The limit holds for all boxes together.  When each box counted only
+        # its own requests, targets received seven times their limit.
         if not self.limits.may_send(entry.name, now):
             return LIMITED
         return None
 
-    def _find_lasting(self, entry, limits):
-        """Give what forbids it whatever was sent there before."""
+    def _get_lasting(self, entry, limits):
+        """Return the exclusion that is independent of earlier requests."""
         if not homes.is_home(entry.domain, limits.regions, self.regions):
             return 'no_home'
         if self.evacuation.holds(entry.domain):
             return 'evacuated'
-        # By its own word, since the list may be away: twelve seconds long
-        # requests went to a target that had said it was about to go.
+        # The target's own announcement counts, since the platform's list may
+        # be unavailable: requests were sent for twelve seconds to a target
+        # that had announced that it was leaving.
         if self.leaving.holds(entry.name):
             return LEAVING
         return None
 
     def may_call(self, entry, now):
-        """Tell whether calls beside the requests may go to a target."""
-        resting = self.rests.is_resting(entry.name, now)
+        """Return whether calls other than requests may be sent to a target."""
+        resting = self.rests.is_backing_off(entry.name, now)
         return not resting and not self.is_closed(entry)
 
     def is_closed(self, entry):
-        """Tell whether a target is to be left, by its own or users' word."""
+        """Return whether a target is evacuated or is leaving."""
         evacuated = self.evacuation.holds(entry.domain)
         return evacuated or self.leaving.holds(entry.name)
 
     def list_limited(self, entries, limits, now):
-        """List the entries with limits that nothing else forbids now."""
+        """List the entries with limits that have no other exclusion now."""
         return [
             entry
-            for entry in self.list_passing(entries, limits, now)
+            for entry in self.list_temporary(entries, limits, now)
             if self.rests.may_send(entry.name, now)
         ]
 
-    def list_passing(self, entries, limits, now):
-        """List the entries that nothing but a limit or a rest holds back."""
+    def list_temporary(self, entries, limits, now):
+        """List the entries excluded by nothing but a limit or a back-off."""
         return [
             entry
             for entry in entries
-            if self._find_lasting(entry, limits) is None
+            if self._get_lasting(entry, limits) is None
             and (
                 self.limits.find(entry.name) is not None
                 or not self.rests.may_send(entry.name, now)
             )
         ]
 
-    def find_wait(self, name, now):
-        """Give the seconds until limits and rests let this box send there.
+    def compute_wait(self, name, now):
+        """Return the seconds until limit and back-off let this box send there.
 
-        None where the box has no permit of the target's limit.
+        None if the box has no permit of the target's limit.
         """
-        rest_s = self.rests.find_wait(name, now)
+        backoff_s = self.rests.compute_wait(name, now)
         if self.limits.find(name) is None:
-            return rest_s
-        limit_s = self.limits.find_wait(name, now)
-        return None if limit_s is None else max(rest_s, limit_s)
+            return backoff_s
+        limit_s = self.limits.compute_wait(name, now)
+        return None if limit_s is None else max(backoff_s, limit_s)
 
     def record_sent(self, name, now):
-        """Note that a request goes to a target."""
+        """Record that a request is sent to a target."""
         self.shares.record_sent(name, now)
         self.rests.record_sent(name, now)
 
     def list_open(self, entries, limits, now):
-        """List the entries that nothing forbids."""
+        """List the entries that are not excluded."""
         return [e for e in entries if self.find_bar(e, limits, now) is None]
 
     def find_lack(self, entries, limits, now):
-        """Give why no target may get a request, but for those that it had."""
-        bars = {self.find_bar(entry, limits, now) for entry in entries}
-        bars.discard(None)
-        for bar in PASSING:
-            if bar in bars:
-                return bar
-        return bars.pop() if len(bars) == 1 else 'no_target'
+        """Return why no target other than those tried may get a request."""
+        exclusions = {self.find_bar(entry, limits, now) for entry in entries}
+        exclusions.discard(None)
+        for exclusion in TEMPORARY:
+            if exclusion in exclusions:
+                return exclusion
+        return exclusions.pop() if len(exclusions) == 1 else 'no_target'
 
     def list_keepers(self, work, table):
-        """Give the stores, by address, in which its context may be kept."""
+        """Return the stores that may hold the request's KV cache.
+
+        The keys are the addresses of the stores.
+        """
         regions = homes.find_regions(work.route, work.tenancy)
         return {
             address: keeper
@@ -166,12 +172,12 @@
         }
 
     def withdraw_evacuation(self, domain, entries, table, now):
-        """Take in that an evacuation is over; True if it stood.
+        """Record the end of an evacuation; return True if it was in force.
 
         Parameters
         ----------
         entries : iterable of fleet.Entry
-            All targets: those of the domain count as cold from now on.
+            All targets.  Those of the domain count as cold from now on.
         """
         if not self.evacuation.withdraw(domain):
             return False
@@ -181,22 +187,23 @@
         return True
 
     def forget(self, name):
-        """Forget a life that seems to be over.
+        """Forget an incarnation that seems to have ended.
 
-        Its words that it leaves or wants rest stay: a target whose entry
-        lapsed may come back in the same life, and does not say them again.
+        Its announcements that it is leaving or wants a back-off stay: a target
+        whose entry lapsed may come back in the same incarnation and does not
+        repeat them.
         """
         self.shares.forget(name)
         self.coldness.forget(name)
         self.limits.forget(name)
 
     def record_back(self, entry, table, now):
-        """Note that a target's path or domain came back."""
-        bound = find_bound(table, entry.service)
+        """Record that a target's path or domain is reachable again."""
+        bound = get_cold_bound(table, entry.service)
         self.coldness.record_back(entry.name, bound, now)
 
 
-def find_bound(table, service):
-    """Give what the targets of a service bear while they are cold."""
+def get_cold_bound(table, service):
+    """Return what the targets of a service can take while they are cold."""
     known = table.services.get(service) if table is not None else None
     return known.cold if known else coldness_module.Bound()
--- a/landingspool/decisions/gateway/bounded.py
+++ b/landingspool/decisions/gateway/bounded.py
@@ -1,7 +1,7 @@
-"""Keeps ordered dicts of what was learnt to a number of rows."""
+"""Limits the number of rows in ordered dicts of learned state."""
 
 
-def trim(rows, most):
-    """Forget the oldest rows of an ordered dict over so many."""
-    while len(rows) > most:
+def trim(rows, max_rows):
+    """Remove the oldest rows of an ordered dict that exceed `max_rows`."""
+    while len(rows) > max_rows:
         rows.popitem(last=False)
--- a/landingspool/decisions/gateway/coldness.py
+++ b/landingspool/decisions/gateway/coldness.py
@@ -1,65 +1,66 @@
-"""Bounds what all boxes together send to a target that is cold.
-
-A target that has just started bears few requests a second, and falls over at
-more.  The bound is on the sum over all boxes, also of those that are cut off
-from each other, so it is divided by their hash order (shares.py): a few boxes
-may send a fixed number in any second, the others nothing while it is cold.
-Two lists of boxes may be in use for as long as a cut lasts, so the numbers
-keep under half of the bound: as many boxes as have a permit may be missing
-from a list.
-
-A target counts as cold for as long as it told, and, since it tells late, for
-the time of a whole start after its path or its domain came back.
-
-An equal share for each of 71 boxes would be less than one request a second,
-for any bound under 142 (tests/gateway/test_coldness.py plays both).
+"""Limits the requests that all boxes together send to a cold target.
+
+A target that has just started can take only a few requests a second and
+crashes if it gets more.  The limit is on the sum over all boxes, including
+boxes that are partitioned from each other.  It is divided by the hash order of
+the boxes (shares.py): a few boxes may each send a fixed number of requests in
+any second, and the others send none while the target is cold.  During a
+partition two member lists may be in use, so the quota stays under half of the
+limit: as many boxes as have a permit may be missing from a list.
+
+A target counts as cold for as long as it reports.  Since its report arrives
+late, it also counts as cold for the time of a full start after its path or its
+domain became reachable again.
+
+An equal share for each of 71 boxes would be less than one request a second for
+any limit under 142 (tests/gateway/test_coldness.py covers both).
 """
 
 import typing
 
 from landingspool.decisions.gateway import shares as shares_module
 
-# Boxes that may send to one cold target, where the bound allows it.  More of
-# them find more requests that fit, fewer may send more each.
-SENDERS = 8
-# Lists of boxes that may be in use at once.
-LISTS = 2
-# Seconds of the window in which requests count; it slides.
+# Maximum number of boxes that may send to one cold target.  With more boxes,
+# more requests find a permitted box; with fewer, each may send more.
+MAX_SENDERS = 8
+# Member lists that may be in use at the same time.
+MEMBER_LISTS = 2
+# Length of the sliding window in which requests are counted, in seconds.
 WINDOW_S = 1.0
 
 
 class Bound(typing.NamedTuple):
-    """What the targets of a service bear while they are cold.
+    """What the targets of a service can take while they are cold.
 
     Attributes
     ----------
     seconds : float
-        For which a start lasts; 0 where there is no such time.
+        Duration of a start; 0 if there is no such time.
     per_s : float
-        Requests a second that a cold target bears.
+        Requests a second that a cold target can take.
     """
 
     seconds: float = 0.0
     per_s: float = 0.0
 
 
-def plan_quota(most):
-    """Give the Quota with which all boxes keep under a bound.
+def plan_quota(max_requests):
+    """Return the Quota that keeps all boxes within a limit.
 
     Parameters
     ----------
-    most : float
+    max_requests : float
         Requests that may arrive in one window, from all boxes.
 
     Returns
     -------
     shares.Quota
 
-    >>> [plan_quota(most)[:2] for most in (32.0, 12.5, 1.0)]
+    >>> [plan_quota(max_requests)[:2] for max_requests in (32.0, 12.5, 1.0)]
     [(8, 2), (6, 1), (0, 1)]
     """
-    requests = max(int(most // (LISTS * SENDERS)), 1)
-    boxes = min(int(most // (LISTS * requests)), SENDERS)
+    requests = max(int(max_requests // (MEMBER_LISTS * MAX_SENDERS)), 1)
+    boxes = min(int(max_requests // (MEMBER_LISTS * requests)), MAX_SENDERS)
     return shares_module.Quota(boxes, requests, WINDOW_S)
 
 
@@ -70,8 +71,8 @@
     ----------
     shares : shares.Shares
     over, slack : float
-        The bound of all boxes is `over` times what a target bears, and
-        `slack` more.
+        All boxes together may send `over` times what a target can take, plus
+        `slack`.
     """
 
     def __init__(self, shares, over, slack):
@@ -81,23 +82,23 @@
         self._until = {}
 
     def record_told(self, name, cold_s, now):
-        """Take in how much longer a target says that it is cold."""
+        """Record for how much longer a target reports that it is cold."""
         if cold_s > 0:
             self._extend(name, now + cold_s)
 
     def record_back(self, name, bound, now):
-        """Note that a target's path or domain came back.
+        """Record that a target's path or domain is reachable again.
 
         Parameters
         ----------
         bound : Bound
-            Of its service.
+            Of the target's service.
         """
         if bound.seconds > 0:
             self._extend(name, now + bound.seconds)
 
     def find_left(self, name, now):
-        """Give the seconds for which a target still counts as cold.
+        """Return the seconds for which a target still counts as cold.
 
         >>> coldness = Coldness(shares_module.Shares(), 1.5, 5.0)
         >>> coldness.record_told('t', 2.0, 10.0)
@@ -108,7 +109,7 @@
         return 0.0 if until is None else max(until - now, 0.0)
 
     def may_send(self, name, bound, now):
-        """Tell whether this box may send a target one more request now."""
+        """Return whether this box may send a target one more request now."""
         if not bound.per_s or not self.find_left(name, now):
             return True
         quota = plan_quota(bound.per_s * self._over + self._slack)
@@ -119,7 +120,7 @@
         return [name for name in self._until if self.find_left(name, now)]
 
     def forget(self, name):
-        """Forget a life that is over."""
+        """Forget an incarnation that has ended."""
         self._until.pop(name, None)
 
     def _extend(self, name, until):
--- a/landingspool/decisions/gateway/endings.py
+++ b/landingspool/decisions/gateway/endings.py
@@ -1,16 +1,16 @@
-"""Which requests targets end under, counted over all arrivals and boxes.
-
-A request may end each target that begins to run it, and come again under
-another name at any box.  So what is counted hangs from what a request asks
-for (its fingerprint), not from one arrival, and boxes tell each other of each
-end that they see.  A request under which three targets have ended reaches no
-further one.
-
-An end is seen from a request's side: its connection breaks while the target
-has it.  All that a target had breaks with it, so an end says little of any
-one request; three say much, since few requests share them.  A target that
-answers right after has not ended, and a request that is answered whole ends
-nobody: both take back what was counted.
+"""Quarantines requests under which targets crash.
+
+A request may crash each target that begins to run it, and come again under
+another id at any box.  So crashes are counted by what a request asks for (its
+fingerprint), not by one arrival, and boxes report each crash that they see to
+their peers.  A request under which three targets have crashed is sent to no
+further target.
+
+A crash is seen from the side of a request: its connection breaks while the
+target has it.  All requests at a target break with it, so one crash says
+little about any one of them.  Three crashes say much, since few requests share
+them.  A target that answers right afterwards has not crashed, and a request
+that is answered completely crashes no target: both revoke what was counted.
 """
 
 import collections
@@ -21,30 +21,32 @@
 from landingspool.decisions.gateway import neighbours
 from landingspool.decisions.gateway import rumors
 
-# Targets that may end under a request: the users' rule names the third, and
-# an innocent request is seldom at three that end (of 230 arrivals lost at 13
-# engines that ended within 12 s, 64 were lost at two and 1 at three).
-MOST_ENDS = 3
-# Seconds for which an end is remembered: what ends targets does so whenever
-# it comes, and each time it is forgotten costs one more.
+# Targets that may crash under a request before it is quarantined.  The
+# requirements name the third, and an innocent request is seldom at three
+# targets that crash: of 230 arrivals lost at 13 engines that crashed within 12
+# s, 64 were lost at two and 1 at three.
+MAX_CRASHES = 3
+# Seconds for which a crash is remembered.  A request that crashes targets does
+# so whenever it comes, and each time it is forgotten costs one more target.
 REMEMBERED_S = 3600.0
-# Fingerprints that are remembered: 64 targets that end with 64 requests each.
-# 3.5 MB where all of them have three ends (tracemalloc).
-MOST_MARKS = 4096
-# Seconds after a loss within which an answer of the target shows that it
-# lives.  One that ends is back after some seconds, at times under its id.
+# Fingerprints that are remembered: 64 targets that crash with 64 requests
+# each.  They take 3.5 MB (tracemalloc) if all of them have three crashes.
+MAX_FINGERPRINTS = 4096
+# Seconds after a lost connection within which an answer shows that the target
+# is alive.  A target that crashes is back after some seconds, at times under
+# the same id.
 ALIVE_S = 1.0
-# Seconds before a target's end is known for sure in which an answer that
-# stayed away counts as lost by it: entries go after three heartbeats.
+# Seconds before a crash is confirmed in which a missing answer is attributed
+# to it: entries lapse after three heartbeats.
 PENDING_S = 3.0
-# Seconds within which two words that a request was answered whole are of the
-# same answer: a word's age lacks the time for which it was on its way, and
-# one that seems newer with each hop would be told for ever.
-SAME_S = 1.0
-# Every so many digests one barred request is told again, each in its turn: a
-# box that comes back from a cut has missed what was told meanwhile, and hears
-# of one within a second (test_endings.py).
-AGAIN_EVERY = 5
+# Seconds within which two notices that a request was answered completely are
+# taken for the same answer.  The age in a notice lacks its transit time, so it
+# seems newer with each hop and would be passed on forever.
+SAME_ANSWER_S = 1.0
+# Each REPEAT_EVERY digests one quarantined request is announced again, in
+# turn: a box that rejoins after a partition has missed earlier notices, and
+# then receives one within a second (test_endings.py).
+REPEAT_EVERY = 5
 
 
 class Bar(enum.StrEnum):
@@ -55,46 +57,46 @@
 
 
 class Endings:
-    """The ends that a box has seen or heard of.
+    """The crashes that a box has seen or received notice of.
 
     Attributes
     ----------
     fresh : list of bytes
-        Fingerprints barred since it was last emptied.
+        Fingerprints quarantined since the list was last emptied.
     lifted : list of bytes
-        Those that may be sent again since it was last emptied.
+        Fingerprints released from quarantine since the list was last emptied.
     """
 
     def __init__(self):
         self.fresh = []
         self.lifted = []
-        self._marks = collections.OrderedDict()
+        self._crashes = collections.OrderedDict()
         self._recent = collections.OrderedDict()
         self._served = collections.OrderedDict()
         self._alive = collections.OrderedDict()
-        self._void = collections.OrderedDict()
+        self._revoked = collections.OrderedDict()
         self._under_way = collections.Counter()
         self._pending = []
-        self._rumors = rumors.Rumors()
+        self._gossip = rumors.Rumors()
         self._digests = 0
 
     def record_sent(self, fingerprint):
-        """Note that a request goes to a target."""
+        """Record that a request is sent to a target."""
         self._under_way[fingerprint] += 1
 
     def record_done(self, fingerprint):
-        """Note that a request is no longer at a target."""
+        """Record that a request is no longer at a target."""
         self._under_way[fingerprint] -= 1
         if not self._under_way[fingerprint]:
             del self._under_way[fingerprint]
 
     def record_lost(self, fingerprint, name, now):
-        """Note that a target broke off a request that it had.
+        """Record that the connection to a target broke during a request.
 
         Parameters
         ----------
         name : str
-            Of the target's life.
+            Of the target's incarnation.
 
         >>> endings = Endings()
         >>> for name in ('a', 'b', 'b'):
@@ -108,9 +110,9 @@
         self._add(fingerprint, neighbours.code_target(name), now, now)
 
     def record_silent(self, fingerprint, name, now):
-        """Note that no answer came, for whatever reason.
+        """Record that no answer came, for whatever reason.
 
-        It counts if the target's end is known soon after.
+        It counts as a crash if the target's crash is confirmed soon after.
         """
         self._pending = [
             row for row in self._pending if now - row[2] < PENDING_S
@@ -119,7 +121,7 @@
         self._pending.append((fingerprint, code, now))
 
     def record_over(self, name, now):
-        """Take in that a target has ended, as its entry tells.
+        """Record a crash that the target's entry has confirmed.
 
         >>> endings = Endings()
         >>> endings.record_silent(b'f', 'a', 1.0)
@@ -134,9 +136,9 @@
         self._pending = [row for row in self._pending if row[1] != code]
 
     def record_alive(self, name, sent):
-        """Note that a target answers what was sent to it at `sent`.
+        """Record that a target answers what was sent to it at `sent`.
 
-        What it broke off shortly before, it did not break off by ending.
+        Connections that broke shortly before then did not break by a crash.
 
         >>> endings = Endings()
         >>> endings.record_lost(b'f', 'a', 1.0)
@@ -147,23 +149,23 @@
         life = neighbours.code_target(name)
         self._alive[life] = max(sent, self._alive.get(life, sent))
         self._alive.move_to_end(life)
-        bounded.trim(self._alive, MOST_MARKS)
+        bounded.trim(self._alive, MAX_FINGERPRINTS)
         for fingerprint in self._recent.pop(life, ()):
-            ends = self._marks.get(fingerprint, {})
-            if life in ends and self._is_alive(life, ends[life]):
-                del ends[life]
-                self._void[fingerprint, life] = sent
-                self._record_fewer(fingerprint, len(ends) + 1)
-        bounded.trim(self._void, MOST_MARKS)
+            crashes = self._crashes.get(fingerprint, {})
+            if life in crashes and self._is_alive(life, crashes[life]):
+                del crashes[life]
+                self._revoked[fingerprint, life] = sent
+                self._record_fewer(fingerprint, len(crashes) + 1)
+        bounded.trim(self._revoked, MAX_FINGERPRINTS)
 
     def record_served(self, fingerprint, now):
-        """Note that a request was answered whole, here."""
-        if fingerprint in self._marks:
+        """Record that this box answered a request completely."""
+        if fingerprint in self._crashes:
             self._clear(fingerprint, now)
-            self._rumors.put(fingerprint, neighbours.NO_LIFE, now)
+            self._gossip.put(fingerprint, neighbours.NO_LIFE, now)
 
-    def take(self, word, now):
-        """Take in a word of another box; what is new is told on.
+    def take(self, notice, now):
+        """Apply a notice from a peer, and pass it on if it is new.
 
         >>> endings = Endings()
         >>> for life in (7, 8, 9):
@@ -175,27 +177,32 @@
         >>> endings.find_bar(b'f', 5.0), endings.lifted
         (None, [b'f'])
         """
-        at = now - word.age_ms / 1000
-        if word.life == neighbours.NO_LIFE:
-            if at > self._served.get(word.fingerprint, -math.inf) + SAME_S:
-                self._clear(word.fingerprint, at)
-                self._rumors.put(word.fingerprint, neighbours.NO_LIFE, at)
+        at = now - notice.age_ms / 1000
+        if notice.life == neighbours.NO_LIFE:
+            if (
+                at
+                > self._served.get(notice.fingerprint, -math.inf)
+                + SAME_ANSWER_S
+            ):
+                self._clear(notice.fingerprint, at)
+                self._gossip.put(notice.fingerprint, neighbours.NO_LIFE, at)
             return
-        self._add(word.fingerprint, word.life, at, now)
+        self._add(notice.fingerprint, notice.life, at, now)
 
     def count(self, fingerprint, now):
-        """Count the targets that ended under a request."""
-        ends = self._marks.get(fingerprint)
-        if ends is None:
+        """Count the targets that crashed under a request."""
+        crashes = self._crashes.get(fingerprint)
+        if crashes is None:
             return 0
-        return sum(1 for at in ends.values() if now - at < REMEMBERED_S)
+        return sum(1 for at in crashes.values() if now - at < REMEMBERED_S)
 
     def find_bar(self, fingerprint, now):
-        """Give why a request may not be sent now; None: it may.
+        """Return why a request may not be sent now, or None if it may.
 
-        From the second end on one at a time is sent by this box.  From the
-        first on would refuse the innocent: of 24 callers who asked for the
-        same, some got a 503 since one connection had broken.
+        From the second crash on, this box runs only one such request at a
+        time.  Doing so from the first crash would refuse innocent requests:
+        some of 24 callers who sent the same request got a 503 because one
+        connection had broken.
 
         >>> endings = Endings()
         >>> endings.record_sent(b'f')
@@ -205,103 +212,105 @@
         >>> endings.find_bar(b'f', 1.0)
         <Bar.UNDER_WAY: 'suspect_under_way'>
         """
-        ends = self.count(fingerprint, now)
-        if ends >= MOST_ENDS:
+        crashes = self.count(fingerprint, now)
+        if crashes >= MAX_CRASHES:
             return Bar.ENDED
-        if ends == MOST_ENDS - 1 and self._under_way[fingerprint]:
+        if crashes == MAX_CRASHES - 1 and self._under_way[fingerprint]:
             return Bar.UNDER_WAY
         return None
 
     def find_left(self, fingerprint, now):
-        """Give the seconds for which a request stays barred."""
-        ends = sorted(self._marks.get(fingerprint, {}).values())
-        if len(ends) < MOST_ENDS:
+        """Return the seconds for which a request stays quarantined."""
+        crashes = sorted(self._crashes.get(fingerprint, {}).values())
+        if len(crashes) < MAX_CRASHES:
             return 0.0
-        return max(ends[-MOST_ENDS] + REMEMBERED_S - now, 0.0)
+        return max(crashes[-MAX_CRASHES] + REMEMBERED_S - now, 0.0)
 
     def list_notices(self, fingerprint, now):
-        """List what is known of a request, as words."""
-        ends = self._marks.get(fingerprint, {})
+        """List what is known about a request, as notices."""
+        crashes = self._crashes.get(fingerprint, {})
         return [
             rumors.make_notice(fingerprint, life, at, now)
-            for life, at in ends.items()
+            for life, at in crashes.items()
         ]
 
-    def list_known(self, now, least=MOST_ENDS - 1):
-        """List the words of requests with so many ends or more.
+    def list_known(self, now, least=MAX_CRASHES - 1):
+        """List the notices of requests with at least `least` crashes.
 
-        A box that starts needs no more: who ended one target alone may end
-        as many again as the rule allows.
+        A box that starts needs no others: a request with a single crash may
+        crash as many more targets as the rule allows.
         """
         return [
-            word
-            for fingerprint, ends in self._marks.items()
-            if len(ends) >= least
-            for word in self.list_notices(fingerprint, now)
+            notice
+            for fingerprint, crashes in self._crashes.items()
+            if len(crashes) >= least
+            for notice in self.list_notices(fingerprint, now)
         ]
 
     def list_barred(self, now):
-        """List the fingerprints of which no more is sent."""
-        return [f for f in self._marks if self.count(f, now) >= MOST_ENDS]
+        """List the fingerprints of quarantined requests."""
+        return [f for f in self._crashes if self.count(f, now) >= MAX_CRASHES]
 
     def tell(self, now):
-        """Give the words for the next digest.
+        """Return the notices for the next digest.
 
-        First those of requests under which most targets ended.
+        Requests under which most targets crashed come first.
         """
-        words = self._rumors.tell(now, self._weigh)
+        notices = self._gossip.tell(now, self._weigh)
         self._digests += 1
-        if self._digests % AGAIN_EVERY == 0:
-            words += self._tell_again(now)
-        return tuple(words)
+        if self._digests % REPEAT_EVERY == 0:
+            notices += self._repeat_notices(now)
+        return tuple(notices)
 
-    def _tell_again(self, now):
-        barred = self.list_barred(now)
-        if not barred:
+    def _repeat_notices(self, now):
+        quarantined = self.list_barred(now)
+        if not quarantined:
             return []
-        turn = self._digests // AGAIN_EVERY % len(barred)
-        return self.list_notices(barred[turn], now)
+        position = self._digests // REPEAT_EVERY % len(quarantined)
+        return self.list_notices(quarantined[position], now)
 
     def _weigh(self, fingerprint):
-        return min(len(self._marks.get(fingerprint, ())), MOST_ENDS)
+        return min(len(self._crashes.get(fingerprint, ())), MAX_CRASHES)
 
     def _is_alive(self, life, at):
         return at < self._alive.get(life, at) <= at + ALIVE_S
 
     def _add(self, fingerprint, life, at, now):
-        """Count an end, unless it is known or was taken back."""
+        """Count a crash, unless it is known or was revoked."""
         if now - at >= REMEMBERED_S or self._is_alive(life, at):
             return
         if at <= self._served.get(fingerprint, -math.inf):
             return
-        if (fingerprint, life) in self._void:
+        if (fingerprint, life) in self._revoked:
             return
-        ends = self._marks.setdefault(fingerprint, {})
-        if life in ends or len(ends) > MOST_ENDS:
+        crashes = self._crashes.setdefault(fingerprint, {})
+        if life in crashes or len(crashes) > MAX_CRASHES:
             return
-        ends[life] = at
-        self._marks.move_to_end(fingerprint)
-        bounded.trim(self._marks, MOST_MARKS)
+        crashes[life] = at
+        self._crashes.move_to_end(fingerprint)
+        bounded.trim(self._crashes, MAX_FINGERPRINTS)
         self._recent.setdefault(life, set()).add(fingerprint)
-        bounded.trim(self._recent, MOST_MARKS)
-        self._rumors.put(fingerprint, life, at)
-        if len(ends) == MOST_ENDS:
+        bounded.trim(self._recent, MAX_FINGERPRINTS)
+        self._gossip.put(fingerprint, life, at)
+        if len(crashes) == MAX_CRASHES:
             self.fresh.append(fingerprint)
 
     def _clear(self, fingerprint, at):
-        """Take back all ends of a request up to `at`."""
+        """Revoke all crashes of a request up to `at`."""
         self._served[fingerprint] = at
         self._served.move_to_end(fingerprint)
-        bounded.trim(self._served, MOST_MARKS)
-        ends = self._marks.get(fingerprint, {})
-        before = len(ends)
-        for life in [life for life, end in ends.items() if end <= at]:
-            del ends[life]
+        bounded.trim(self._served, MAX_FINGERPRINTS)
+        crashes = self._crashes.get(fingerprint, {})
+        before = len(crashes)
+        for life in [
+            life for life, at_crash in crashes.items() if at_crash <= at
+        ]:
+            del crashes[life]
         self._record_fewer(fingerprint, before)
 
     def _record_fewer(self, fingerprint, before):
-        left = len(self._marks.get(fingerprint, ()))
-        if before >= MOST_ENDS > left:
+        left = len(self._crashes.get(fingerprint, ()))
+        if before >= MAX_CRASHES > left:
             self.lifted.append(fingerprint)
         if not left:
-            self._marks.pop(fingerprint, None)
+            self._crashes.pop(fingerprint, None)
--- a/landingspool/decisions/gateway/evacuation.py
+++ b/landingspool/decisions/gateway/evacuation.py
@@ -1,21 +1,21 @@
-"""Which failure domains are evacuated: nothing new goes to their targets.
+"""Tracks evacuated failure domains, whose targets get no new requests.
 
-Operators put and withdraw evacuations beside the tables.  That an evacuation
-stands is all that counts, whatever else its record holds: the harm of
-sending there is greater than that of a domain left out.  When one is
-withdrawn, the domain's targets may have become cold shortly before, and say
+Operators put and withdraw evacuations separately from the tables.  Only the
+presence of an evacuation counts, whatever else its record holds: sending to an
+evacuated domain does more harm than leaving a domain out.  When one is
+withdrawn, the domain's targets may have become cold shortly before and report
 so only later.
 """
 
 
 class Evacuation:
-    """The evacuated domains, as one box knows them."""
+    """The evacuated domains, as known to one box."""
 
     def __init__(self):
         self._since = {}
 
     def put(self, domain, now):
-        """Take in that a domain is evacuated; True if that is new.
+        """Record that a domain is evacuated; return True if that is new.
 
         >>> evacuation = Evacuation()
         >>> evacuation.put('d', 1.0), evacuation.put('d', 2.0)
@@ -29,11 +29,11 @@
         return True
 
     def withdraw(self, domain):
-        """Take in that a domain's evacuation is over; True if it stood."""
+        """Record the end of an evacuation; return True if it was in force."""
         return self._since.pop(domain, None) is not None
 
     def holds(self, domain):
-        """Tell whether a domain is evacuated."""
+        """Return whether a domain is evacuated."""
         return domain in self._since
 
     def list_domains(self):
@@ -52,5 +52,5 @@
         return [name for name in self.list_domains() if name not in standing]
 
     def describe(self, now):
-        """Give the seconds since each evacuation was heard of, by domain."""
+        """Return the seconds since each evacuation was received, by domain."""
         return {d: round(now - at, 2) for d, at in self._since.items()}
--- a/landingspool/decisions/gateway/fingerprints.py
+++ b/landingspool/decisions/gateway/fingerprints.py
@@ -1,33 +1,33 @@
-"""What a request asks for, as one name that each of its arrivals has.
+"""Computes a fingerprint that all arrivals of the same request share.
 
-Callers name each try anew.  Whether two arrivals ask for the same is told by
-the path, the workspace and the body: the digest of these is the same on all
-boxes, and short enough to be told between them and to stand in logs.
+Callers give each attempt a new id.  Two arrivals ask for the same if path,
+workspace and body are equal: the digest of these is the same on all boxes, and
+short enough for digests between boxes and for logs.
 """
 
 import hashlib
 
-# Bytes of a fingerprint: two that are equal by chance do not occur, and one
-# that equals another's would take 2 ** 96 tries.
+# Size of a fingerprint in bytes.  Accidental collisions do not occur, and
+# constructing one would take 2 ** 96 attempts.
 SIZE = 12
-# Parts the digests of requests from any other use of the hash.
+# Separates the digests of requests from any other use of the hash.
 PURPOSE = b'request'
-# Bytes that tell the length of a field before it.
+# Size in bytes of the length prefix of each field.
 LENGTH_BYTES = 4
 
 
 def take_fingerprint(workspace, path, body):
-    """Give the fingerprint of a request.
+    """Return the fingerprint of a request.
 
-    The workspace is a part of it, and each field stands behind its length: no
-    workspace can make a request that is taken for another one's.
+    The workspace is a part of it, and each field is prefixed with its length,
+    so no workspace can craft a request that is taken for that of another one.
 
     Parameters
     ----------
     workspace : str
-        Empty where the request has none.
+        Empty if the request has none.
     path : str
-        With its query.
+        Including the query.
     body : bytes
 
     Returns
--- a/landingspool/decisions/gateway/leaving.py
+++ b/landingspool/decisions/gateway/leaving.py
@@ -1,12 +1,13 @@
-"""Knows which targets have said that they leave.
+"""Tracks the targets that have announced that they are leaving.
 
-A target that leaves says so in its answers, before or without the platform's
-list.  The word holds for the life of the target that said it and for as long
-as that lasts, whatever is read later: a list read anew, another box's state or
-an entry that lapsed and came back tell what was written before.
+A target that is leaving says so in its answers, before the platform's list
+does or without it.  The announcement holds for the whole incarnation of the
+target, whatever is read later: a reloaded list, the state of another box or an
+entry that lapsed and came back reflect what was written before it.
 
-The other boxes are told, since one that has not asked the target of late, or
-that starts, would learn it by a request that runs on a target about to go.
+Peers are notified, since a box that has not sent to the target lately, or that
+has just started, would otherwise learn of it only by a request that runs on a
+target about to exit.
 """
 
 import collections
@@ -15,31 +16,31 @@
 from landingspool.decisions.gateway import bounded
 from landingspool.decisions.gateway import neighbours
 
-# Lives of which the word is kept: more than leave while any box is up, but
-# for the longest lives.
-MOST_KNOWN = 4096
-# Seconds for which a new word goes into each digest, and after which only
-# into each fifth, for as long as targets usually take to leave.
+# Incarnations that are remembered: more than leave during the uptime of a box,
+# except for the longest uptimes.
+MAX_KNOWN = 4096
+# Seconds for which a new notice goes into each digest.  After that it goes
+# only into each fifth, for as long as targets usually take to leave.
 NEW_S = 1.0
-AGAIN_EVERY = 5
-TOLD_S = 60.0
-# Notices in one digest at most, 9 bytes each.
-MOST_TOLD = 40
+REPEAT_EVERY = 5
+REPEAT_FOR_S = 60.0
+# Maximum number of notices in one digest, 9 bytes each.
+MAX_NOTICES = 40
 
 
 class Known(typing.NamedTuple):
-    """The word of one life.
+    """The announcement of one incarnation.
 
     Attributes
     ----------
     life : int
-        Its code (neighbours.code_target).
+        Hash of the incarnation's name (neighbours.code_target).
     heard : float
-        When the answer came that said so.
+        When the answer with the announcement was received.
     box : str
-        The box that told this one; empty where the target did.
+        The peer that reported it; empty if the target itself did.
     is_over : bool
-        Whether the life is over.
+        Whether the incarnation has ended.
     """
 
     life: int
@@ -49,12 +50,12 @@
 
 
 class Leaving:
-    """The lives that have said that they leave.
+    """The incarnations that have announced that they are leaving.
 
     Attributes
     ----------
     fresh : list of Known
-        What was learnt, or is over, since it was last emptied.
+        What was received, or has ended, since the list was last emptied.
     """
 
     def __init__(self):
@@ -63,12 +64,12 @@
         self._digests = 0
 
     def record_told(self, name, now):
-        """Take in that an answer of a target said so.
+        """Record that an answer of a target announced that it is leaving.
 
         Parameters
         ----------
         name : str
-            Of the target's life.
+            Of the target's incarnation.
 
         >>> leaving = Leaving()
         >>> leaving.record_told('t', 1.0)
@@ -77,17 +78,20 @@
         """
         self._put(Known(neighbours.code_target(name), now))
 
-    def take(self, word, box, now):
-        """Take in what another box tells.
+    def take(self, notice, box, now):
+        """Apply a notice from a peer.
 
         Parameters
         ----------
-        word : neighbours.LeavingNotice
+        notice : neighbours.LeavingNotice
         """
-        self._put(Known(word.life, now - word.age_ms / 1000, box))
+        self._put(Known(notice.life, now - notice.age_ms / 1000, box))
 
     def record_over(self, name):
-        """Note that a life is over; its word stays, it may only seem so."""
+        """Record that an incarnation ended, keeping its announcement.
+
+        It may only seem to have ended: its entry may have lapsed.
+        """
         life = neighbours.code_target(name)
         known = self._known.get(life)
         if known is not None and not known.is_over:
@@ -95,15 +99,15 @@
             self.fresh.append(self._known[life])
 
     def holds(self, name):
-        """Tell whether a target has said that it leaves."""
+        """Return whether a target has announced that it is leaving."""
         return neighbours.code_target(name) in self._known
 
     def find(self, name):
-        """Give the Known word of a life; None where there is none."""
+        """Return the Known announcement of an incarnation, or None."""
         return self._known.get(neighbours.code_target(name))
 
     def tell(self, now):
-        """Give the words for the next digest.
+        """Return the notices for the next digest.
 
         >>> leaving = Leaving()
         >>> leaving.record_told('t', 1.0)
@@ -111,16 +115,16 @@
         [1, 0, 0, 0, 1, 0]
         """
         self._digests += 1
-        again = self._digests % AGAIN_EVERY == 0
-        words = [
+        again = self._digests % REPEAT_EVERY == 0
+        notices = [
             make_notice(known, now)
             for known in self._known.values()
-            if now - known.heard < (TOLD_S if again else NEW_S)
+            if now - known.heard < (REPEAT_FOR_S if again else NEW_S)
         ]
-        return tuple(words[-MOST_TOLD:])
+        return tuple(notices[-MAX_NOTICES:])
 
     def list_notices(self, now):
-        """List the words of the lives that last, for a box that starts."""
+        """List the notices of running incarnations, for a box that starts."""
         return [
             make_notice(known, now)
             for known in self._known.values()
@@ -132,10 +136,10 @@
             return
         self._known[known.life] = known
         self.fresh.append(known)
-        bounded.trim(self._known, MOST_KNOWN)
+        bounded.trim(self._known, MAX_KNOWN)
 
 
 def make_notice(known, now):
-    """Give the neighbours.LeavingNotice of a Known."""
+    """Return the neighbours.LeavingNotice of a Known."""
     age_ms = max(int((now - known.heard) * 1000), 0)
     return neighbours.LeavingNotice(known.life, age_ms)
--- a/landingspool/decisions/gateway/limits.py
+++ b/landingspool/decisions/gateway/limits.py
@@ -1,18 +1,20 @@
-"""Keeps all boxes together to the limits that targets name.
-
-A target in need names the requests a second that it takes from all boxes
-together, in each answer for as long as that holds.  Boxes tell each other of
-it, and the figure is a quota that is dealt out (shares.py): what a box may
-send follows from its permits, never from what the others seem to send.
-
-Answers overtake one another, and a stream's head is read long before its end,
-so which of two answers says what holds now follows from when they were asked
-for and heard: an answer was made between both.  Where the order can't be told
-the stricter word holds, since what is sent too much can't be taken back.
-
-A limit does not lapse with time, since a target that nobody asks says
-nothing.  It ends by what its permits are for: requests still go to the target,
-and the first success without a limit is told to all.
+"""Keeps all boxes together within the limits that targets advertise.
+
+An overloaded target advertises in each answer how many requests a second it
+accepts from all boxes together, for as long as that holds.  Boxes announce the
+limit to each other, and it becomes a quota that is divided among them
+(shares.py): what a box may send follows from its permits, never from what its
+peers seem to send.
+
+Answers may arrive out of order, and the head of a stream is read long before
+its end.  So the order of two answers follows from the times when their
+requests were sent and the answers received: an answer was made between the
+two.  If the order is unknown the stricter limit holds, since requests sent in
+excess can't be taken back.
+
+A limit does not expire with time, since a target that gets no requests
+announces nothing.  Requests keep going to the target under its permits, and
+the first success without a limit ends it and is announced to all boxes.
 """
 
 import collections
@@ -24,51 +26,53 @@
 from landingspool.decisions.gateway import neighbours
 from landingspool.decisions.gateway import shares as shares_module
 
-# Seconds of the window in which the users count what arrives: one and a half
-# times the limit, and five more.
+# Length in seconds of the window in which the users count arrivals: one and a
+# half times the limit, plus five, are allowed in it.
 WINDOW_S = 4.0
-# A figure beyond what any target takes counts as this many: it binds nobody,
-# and a number of 308 digits must not end in an error.
-MOST_PER_S = 10_000.0
-# A target that takes less gets so many requests a second all the same: by
-# nothing else could be learnt that it takes more again.  Far under what the
-# users allow on top of any limit, five in a window.
-LEAST_PER_S = 1 / shares_module.MOST_WINDOW_S
-# Stands for the figure of a target that names no limit any more.
+# Larger limits are capped to this value, which restricts no box.  It keeps a
+# number of 308 digits from raising an error.
+MAX_PER_S = 10_000.0
+# A target with a lower limit still gets this many requests a second: only an
+# answer can show that it accepts more again.  This is far below what the users
+# allow above any limit, five in a window.
+MIN_PER_S = 1 / shares_module.MAX_WINDOW_S
+# Stands for the limit of a target that advertises none any more.
 NO_LIMIT = 0.0
-# Lives of which a word is kept: more than deployments have targets.
-MOST_KNOWN = 1024
-# Seconds for which a word may have been on its way between boxes: its ages
-# lack that time, so that it seems the newer by so much.
-TRAVEL_S = 1.0
-# Seconds for which a new word goes into each digest, and after which only
-# into each fifth: with datagrams to 24 boxes it is everywhere by then.
+# Incarnations whose limit is remembered: more than deployments have targets.
+MAX_KNOWN = 1024
+# Maximum transit time in seconds of a notice between boxes.  The ages in a
+# notice lack that time, so it seems newer by up to as much.
+MAX_TRANSIT_S = 1.0
+# Seconds for which a new notice goes into each digest.  After that it goes
+# only into each fifth: with datagrams to 24 boxes all of them have it by then.
 NEW_S = 1.0
-AGAIN_EVERY = 5
-# Seconds for which it is told that a limit has ended.
+REPEAT_EVERY = 5
+# Seconds for which the end of a limit is announced.
 ENDED_S = 10.0
-# Notices in one digest at most, 22 bytes each.
-MOST_TOLD = 40
-# Seconds without news of a limit after which boxes without a permit may ask
-# the target in turn: one that missed the end would believe in it for ever.
+# Maximum number of notices in one digest, 22 bytes each.
+MAX_NOTICES = 40
+# Seconds without an update of a limit after which boxes without a permit may
+# probe the target in turn: a box that missed the end of the limit would
+# otherwise keep it forever.
 UNRENEWED_S = 30.0
 
 
 class Known(typing.NamedTuple):
-    """The word of a target that holds.
+    """The limit of a target as last advertised.
 
     Attributes
     ----------
     per_s : float
-        Requests a second, from all boxes; NO_LIMIT once it names none.
+        Requests a second, from all boxes; NO_LIMIT once it advertises none.
     asked, heard : float
-        When the request went out whose answer said so, and when that came.
+        When the request was sent whose answer advertised it, and when the
+        answer was received.
     changed : float
-        When this box learnt that the figure is what it is.
+        When this box received the present value.
     box : str
-        The box that told this one of it; empty where the target did.
+        The peer that reported it; empty if the target itself did.
     since : float
-        When this box learnt that the target is limited at all.
+        When this box first received any limit of the target.
     """
 
     per_s: float
@@ -80,9 +84,9 @@
 
 
 class Change(typing.NamedTuple):
-    """A figure that is new, for the log.
+    """A changed limit, for the log.
 
-    `life` is the code of the target's life (neighbours.code_target).
+    `life` is the hash of the incarnation's name (neighbours.code_target).
     """
 
     life: int
@@ -90,7 +94,7 @@
 
 
 class Limits:
-    """The limits that targets name.
+    """The limits that targets advertise.
 
     Parameters
     ----------
@@ -99,9 +103,9 @@
     Attributes
     ----------
     fresh : list of Change
-        What changed since it was last emptied.
+        What changed since the list was last emptied.
     is_urgent : bool
-        Whether a limit has begun that no digest has told yet.
+        Whether a limit has begun that has not been in a digest yet.
     """
 
     def __init__(self, shares):
@@ -112,25 +116,26 @@
         self._digests = 0
 
     def record_named(self, name, per_s, asked, heard):
-        """Take in the limit that an answer of a target named.
+        """Record the limit that an answer of a target advertised.
 
         Parameters
         ----------
         name : str
-            Of the target's life.
+            Of the target's incarnation.
 
         >>> limits = Limits(shares_module.Shares())
         >>> limits.record_named('t', 1.8, 1.0, 1.1)
         >>> limits.find('t').per_s, limits.find('u')
         (1.8, None)
         """
-        word = Known(per_s, asked, heard, heard)
-        self._put(neighbours.code_target(name), word)
+        notice = Known(per_s, asked, heard, heard)
+        self._put(neighbours.code_target(name), notice)
 
     def record_unnamed(self, name, asked, heard):
-        """Take in an answer that named none.
+        """Record an answer that advertised no limit.
 
-        It ends a limit only if it was asked for after that was heard.
+        It ends a limit only if its request was sent after the limit was
+        received.
 
         >>> limits = Limits(shares_module.Shares())
         >>> limits.record_named('t', 1.8, 1.0, 1.1)
@@ -144,38 +149,43 @@
         if life in self._known:
             self._put(life, Known(NO_LIMIT, asked, heard, heard))
 
-    def take(self, word, box, now):
-        """Take in what another box tells of a limit.
+    def take(self, notice, box, now):
+        """Apply a notice of a limit from a peer.
 
         Parameters
         ----------
-        word : neighbours.LimitNotice
+        notice : neighbours.LimitNotice
         """
-        if not is_figure(word.per_s):
+        if not is_valid_rate(notice.per_s):
             return
-        if not word.per_s and word.life not in self._known:
+        if not notice.per_s and notice.life not in self._known:
             return
-        asked, heard = now - word.asked_ms / 1000, now - word.heard_ms / 1000
+        asked, heard = (
+            now - notice.asked_ms / 1000,
+            now - notice.heard_ms / 1000,
+        )
         self._put(
-            word.life, Known(word.per_s, asked, heard, now, box), TRAVEL_S
+            notice.life,
+            Known(notice.per_s, asked, heard, now, box),
+            MAX_TRANSIT_S,
         )
 
     def tell(self, now):
-        """Give the words for the next digest."""
+        """Return the notices for the next digest."""
         self._digests += 1
         self.is_urgent = False
-        again = self._digests % AGAIN_EVERY == 0
-        words = [
+        again = self._digests % REPEAT_EVERY == 0
+        notices = [
             make_notice(life, known, now)
             for life, known in self._known.items()
             if is_due(known, again, now)
         ]
-        # Where there are too many, others each time.
-        first = self._digests * MOST_TOLD % max(len(words), 1)
-        return tuple((words[first:] + words[:first])[:MOST_TOLD])
+        # If there are too many notices, each digest has others.
+        first = self._digests * MAX_NOTICES % max(len(notices), 1)
+        return tuple((notices[first:] + notices[:first])[:MAX_NOTICES])
 
     def list_notices(self, now):
-        """List the words of all limits that hold, for a box that starts."""
+        """List the notices of all limits in force, for a box that starts."""
         return [
             make_notice(life, known, now)
             for life, known in self._known.items()
@@ -183,43 +193,43 @@
         ]
 
     def find(self, name):
-        """Give the Known limit of a target; None where it names none."""
+        """Return the Known limit of a target, or None if it has none."""
         known = self._known.get(neighbours.code_target(name))
         return known if known is not None and known.per_s else None
 
     def list_named(self, names):
-        """Give the Known limits of some targets, by name."""
+        """Return the Known limits of some targets, by name."""
         found = {name: self.find(name) for name in names}
         return {name: known for name, known in found.items() if known}
 
     def may_send(self, name, now):
-        """Tell whether this box may send a target one more request now."""
+        """Return whether this box may send a target one more request now."""
         known = self.find(name)
         if known is None:
             return True
-        quota = find_open(known, now)
+        quota = get_open_quota(known, now)
         if self._shares.may_send(name, quota, now):
             return True
         return self._is_turn(name, known, quota, now)
 
-    def find_wait(self, name, now):
-        """Give the seconds until it may; None where it has no permit."""
-        quota = find_open(self.find(name), now)
-        return self._shares.find_wait(name, quota, now)
+    def compute_wait(self, name, now):
+        """Return the seconds until this box may send; None: no permit."""
+        quota = get_open_quota(self.find(name), now)
+        return self._shares.compute_wait(name, quota, now)
 
     def find_room(self, name, now):
-        """Give the requests a second that this box may send to a target."""
+        """Return the requests a second that this box may send to a target."""
         quota = plan_quota(self.find(name).per_s)
         permits = self._shares.count_permits(name, quota, now)
         return permits * quota.requests / quota.window_s
 
     def find_used(self, name, now):
-        """Give the requests a second that this box sent a target of late."""
+        """Return the requests a second that this box sent lately."""
         return len(self._shares.list_sent(name, WINDOW_S, now)) / WINDOW_S
 
     def _is_turn(self, name, known, quota, now):
-        """Tell whether this box may ask a target that nobody asks."""
-        order = self._shares.find_order(name)
+        """Return whether this box may probe a target that gets no requests."""
+        order = self._shares.get_rank(name)
         if order is None or order < quota.permits:
             return False
         begins = known.heard + UNRENEWED_S + order * quota.window_s
@@ -228,47 +238,47 @@
         return not self._shares.list_sent(name, quota.window_s, now)
 
     def forget(self, name):
-        """Forget a life that is over."""
+        """Forget an incarnation that has ended."""
         self._known.pop(neighbours.code_target(name), None)
 
-    def _put(self, life, word, travel_s=0.0):
+    def _put(self, life, notice, transit_s=0.0):
         known = self._known.get(life)
-        if known is not None and not supersedes(word, known, travel_s):
+        if known is not None and not supersedes(notice, known, transit_s):
             return
-        if known is not None and known.per_s == word.per_s:
-            word = known._replace(
-                asked=max(word.asked, known.asked),
-                heard=max(word.heard, known.heard),
+        if known is not None and known.per_s == notice.per_s:
+            notice = known._replace(
+                asked=max(notice.asked, known.asked),
+                heard=max(notice.heard, known.heard),
             )
         else:
             begins = known is None or not known.per_s
-            since = word.changed if begins else known.since
-            word = word._replace(since=since)
+            since = notice.changed if begins else known.since
+            notice = notice._replace(since=since)
             self.is_urgent = self.is_urgent or begins
-            self.fresh.append(Change(life, word))
-        self._known[life] = word
+            self.fresh.append(Change(life, notice))
+        self._known[life] = notice
         self._known.move_to_end(life)
-        bounded.trim(self._known, MOST_KNOWN)
+        bounded.trim(self._known, MAX_KNOWN)
 
 
-def is_looser(word, known):
-    """Tell whether a word allows more than another one."""
+def is_looser(notice, known):
+    """Return whether a limit allows more than another one."""
     if not known.per_s:
         return False
-    return not word.per_s or word.per_s > known.per_s
+    return not notice.per_s or notice.per_s > known.per_s
 
 
-def supersedes(word, known, travel_s=0.0):
-    """Tell whether a word holds from now on in place of what is known.
+def supersedes(notice, known, transit_s=0.0):
+    """Return whether a limit replaces the one that is known.
 
-    One that allows more has to be the newer for sure; any other one only must
-    not be the older for sure.
+    A limit that allows more must be confirmed to be newer.  Any other one only
+    must not be confirmed to be older.
 
     Parameters
     ----------
-    word, known : Known
-    travel_s : float
-        By which the word may seem too new.
+    notice, known : Known
+    transit_s : float
+        Seconds by which `notice` may seem too new.
 
     >>> known = Known(2.0, 5.0, 5.3, 5.3)
     >>> supersedes(Known(3.0, 5.2, 5.4, 5.4), known)
@@ -280,23 +290,23 @@
     >>> supersedes(Known(1.0, 4.0, 4.9, 4.9), known)
     False
     """
-    if is_looser(word, known):
-        return word.asked > known.heard + travel_s
-    return word.heard > known.asked
+    if is_looser(notice, known):
+        return notice.asked > known.heard + transit_s
+    return notice.heard > known.asked
 
 
-def is_figure(per_s):
-    """Tell whether a number from another box is a limit, or NO_LIMIT."""
+def is_valid_rate(per_s):
+    """Return whether a number from a peer is a limit or NO_LIMIT."""
     return 0.0 <= per_s < math.inf
 
 
 def is_due(known, again, now):
-    """Tell whether a word belongs into a digest.
+    """Return whether a limit belongs into a digest.
 
     Parameters
     ----------
     again : bool
-        Whether the digest has those that are not new, too.
+        Whether the digest repeats limits that are not new.
     """
     age_s = now - known.changed
     if age_s < NEW_S:
@@ -305,19 +315,19 @@
 
 
 def make_notice(life, known, now):
-    """Give the neighbours.LimitNotice of a life."""
+    """Return the neighbours.LimitNotice of an incarnation."""
     asked_ms, heard_ms = (
         max(int((now - at) * 1000), 0) for at in (known.asked, known.heard)
     )
     return neighbours.LimitNotice(life, known.per_s, asked_ms, heard_ms)
 
 
-def find_open(known, now):
-    """Give the Quota of a limit with those permits that are open by now.
+def get_open_quota(known, now):
+    """Return the Quota of a limit with the permits that are open by now.
 
-    They open one after the other over the first window.  Used all at once
-    they would be free again all at once, so that the target got 8 requests in
-    a tenth of a second and then none for 4 s (7 boxes, 1.8 a second).
+    Permits open one after the other over the first window.  If all were used
+    at once they would also become free at once: with 7 boxes and 1.8 a second
+    the target got 8 requests in a tenth of a second and then none for 4 s.
     """
     quota = plan_quota(known.per_s)
     share = (now - known.since) / quota.window_s
@@ -326,14 +336,15 @@
     return quota._replace(permits=int(max(share, 0.0) * quota.permits) + 1)
 
 
-@functools.lru_cache(maxsize=MOST_KNOWN)
+@functools.lru_cache(maxsize=MAX_KNOWN)
 def plan_quota(per_s):
-    """Give the Quota of a limit, which is the limit itself.
+    """Return the Quota of a limit, which equals the limit itself.
 
-    With as many permits as a window has requests no window holds more than
-    these, also over two lists of boxes of which half of the permits differ:
-    the users allow one and a half times as many, and five.  An equal share of
-    a limit of 2 a second for 195 boxes would be one request in 98 s each.
+    With as many permits as a window has requests, no window holds more than
+    the limit.  With two member lists in use of which half of the permits
+    differ, it holds up to one and a half times as many; the users allow that,
+    plus five.  An equal share of a limit of 2 a second for 195 boxes would be
+    one request in 98 s for each.
 
     Parameters
     ----------
@@ -348,6 +359,6 @@
     >>> plan_quota(1.7e308)
     Quota(permits=40000, requests=1, window_s=4.0)
     """
-    per_s = min(max(per_s, LEAST_PER_S), MOST_PER_S)
+    per_s = min(max(per_s, MIN_PER_S), MAX_PER_S)
     permits = math.ceil(WINDOW_S * per_s)
     return shares_module.Quota(permits, 1, permits / per_s)
--- a/landingspool/decisions/gateway/neighbours.py
+++ b/landingspool/decisions/gateway/neighbours.py
@@ -1,9 +1,9 @@
-"""What the other boxes have at the targets, from their digests.
+"""Sums up the load that peers put on targets, from their digests.
 
-Each box tells some others, a few times a second, what it has sent where.
-A digest that is lost is replaced by the next one, so datagrams do.  Where
-there are many boxes each tells only some of them; what was heard then
-stands for the rest.
+Each box sends its peers a digest a few times a second: what it has sent to
+which target.  A lost digest is replaced by the next one, so datagrams suffice.
+If there are many boxes each sends it only to some, and the digests received
+stand for the others.
 """
 
 import functools
@@ -11,33 +11,33 @@
 
 import xxhash
 
-# Seconds for which a digest counts: several periods, so that one lost
-# datagram does not make a busy target look idle.
+# Seconds for which a digest counts: several periods, so that one lost datagram
+# does not make a busy target look idle.
 FRESH_S = 1.0
-# Seconds for which the sums over all digests are used again.
-SUM_S = FRESH_S / 10
-# Boxes that one digest is sent to: of 85 boxes each then hears three in
-# four within the time for which a digest counts, at 18 KB/s.
+# Seconds for which the sums over all digests are cached.
+SUM_CACHE_S = FRESH_S / 10
+# Peers that one digest is sent to: with 85 boxes each then receives three in
+# four of the digests within the time for which they count, at 18 KB/s.
 FAN_OUT = 24
-# Of these, boxes of the same domain: bytes between domains are dear, and what
-# near boxes have under way is like what any others have.
+# Of these, peers in the same domain: traffic between domains is expensive, and
+# the load from near boxes resembles that from any others.
 FAN_OUT_NEAR = 18
-# Stands for the target in the word that a request was answered whole.
+# Stands for the target in the notice that a request was answered completely.
 NO_LIFE = 0
-# Loads of a target of which no digest tells.
-NOTHING = 0, 0, 0, 0
+# Load of a target that is in no digest.
+NO_LOAD = 0, 0, 0, 0
 
 
 class CrashNotice(typing.NamedTuple):
-    """One target that ended under a request.
+    """One target that crashed under a request.
 
     Attributes
     ----------
     fingerprint : bytes
         Of the request.
     life : int
-        Code of the life that ended (code_target); NO_LIFE: the request was
-        answered whole.
+        Hash of the crashed incarnation's name (code_target); NO_LIFE: the
+        request was answered completely.
     age_ms : int
         Milliseconds since then.
     """
@@ -48,16 +48,17 @@
 
 
 class LimitNotice(typing.NamedTuple):
-    """What a target says of the requests that it takes.
+    """The limit that a target advertises.
 
     Attributes
     ----------
     life : int
-        Code of the target's life (code_target).
+        Hash of the incarnation's name (code_target).
     per_s : float
-        Requests a second from all boxes; 0: it names no limit any more.
+        Requests a second from all boxes; 0: it advertises no limit any more.
     asked_ms, heard_ms : int
-        Milliseconds since it was asked, and since its answer came.
+        Milliseconds since the request was sent, and since its answer was
+        received.
     """
 
     life: int
@@ -67,14 +68,14 @@
 
 
 class LeavingNotice(typing.NamedTuple):
-    """A target that has said that it leaves.
+    """A target that has announced that it is leaving.
 
     Attributes
     ----------
     life : int
-        Code of the target's life (code_target).
+        Hash of the incarnation's name (code_target).
     age_ms : int
-        Milliseconds since it said so.
+        Milliseconds since the announcement.
     """
 
     life: int
@@ -87,23 +88,23 @@
     Attributes
     ----------
     number : int
-        Rises with each digest of a box.
+        Increases with each digest of a box.
     loads : dict of int to list
-        For each target, by its code, the prompt tokens waiting there, the
-        requests that have begun, the tokens that all of them hold, the
-        requests waiting.
+        For each target, by its hash: the prompt tokens waiting there, the
+        requests running, the tokens that all of them hold, the requests
+        waiting.
     unreached : tuple of str
-        Targets to which it can't connect.
+        Targets to which the box can't connect.
     rooms : dict of str to tuple of int
-        For each store that it counted the life and the tokens taken.
+        For each store that it counted, the incarnation and the tokens used.
     link_mbps : float
-        Width of its link.
+        Capacity of its link, Mbit/s.
     endings : tuple of CrashNotice
-        Targets that ended under requests, as it has seen or heard.
+        Targets that crashed under requests, as seen or received by the box.
     limits : tuple of LimitNotice
-        What targets say of the requests that they take, likewise.
+        Limits that targets advertise, likewise.
     leaving : tuple of LeavingNotice
-        Targets that have said that they leave, likewise.
+        Targets that have announced that they are leaving, likewise.
     """
 
     box: str
@@ -134,26 +135,26 @@
     proof_s: float
 
 
-class Heard(typing.NamedTuple):
-    """The newest digest of a box, and when it came."""
+class Received(typing.NamedTuple):
+    """The newest digest of a box, and when it was received."""
 
     digest: Digest
     at: float
 
     def is_fresh(self, now):
-        """Tell whether it still counts."""
+        """Return whether the digest still counts."""
         return now - self.at < FRESH_S
 
 
 @functools.lru_cache(maxsize=4096)
 def code_target(name):
-    """Give the number by which digests name a target's life.
+    """Return the hash by which digests identify a target's incarnation.
 
-    A name takes 14 bytes, or 28 with the start of a life, and a digest some
-    seven of them, of 330 bytes in all; bytes between domains are dear, and
-    digests are nearly all of them (71 boxes: 0.12 GB of 0.15 in a minute).
-    Two targets with one number, once in millions of deployments, would be
-    taken to have what both have.
+    A name takes 14 bytes, or 28 with the incarnation's start, and a digest has
+    some seven of them in 330 bytes.  Traffic between domains is expensive, and
+    digests are nearly all of it (71 boxes: 0.12 GB of 0.15 in a minute).  If
+    two targets had the same hash, which happens once in millions of
+    deployments, each would be assigned the load of both.
 
     >>> 0 <= code_target('t') < 2 ** 32
     True
@@ -162,12 +163,12 @@
 
 
 def code_loads(loads):
-    """Give what a box has at each target as digests tell it.
+    """Return the load of a box at each target as digests encode it.
 
     Parameters
     ----------
     loads : dict of str to list
-        By the name of the target's life.
+        By the name of the target's incarnation.
     """
     return {code_target(name): load for name, load in loads.items()}
 
@@ -178,7 +179,7 @@
     Parameters
     ----------
     near, far : sequence
-        The other boxes of this domain, and of all others.
+        The peers in this domain, and in all others.
     rng : random.Random
 
     >>> import random
@@ -197,27 +198,27 @@
 
 
 class Neighbours:
-    """The other boxes as this one has heard of them."""
+    """The newest digests of the other boxes."""
 
     def __init__(self):
-        self._heard = {}
+        self._received = {}
         self._sums = {}
-        self._sums_heard = 0
-        self._domains_heard = set()
+        self._sums_boxes = 0
+        self._sums_domains = set()
         self._summed = None
 
     def take(self, digest, now):
-        """Take in a digest."""
-        known = self._heard.get(digest.box)
+        """Store a digest unless a newer one is known."""
+        known = self._received.get(digest.box)
         if known is not None and known.digest.number >= digest.number:
             if known.is_fresh(now):
-                # An older one that was overtaken on its way.
+                # An older digest that arrived out of order.
                 return
-        self._heard[digest.box] = Heard(digest, now)
+        self._received[digest.box] = Received(digest, now)
         self._summed = None
 
     def exclude_stall(self, seconds):
-        """Leave out seconds for which this box did not run.
+        """Exclude a stall of this box from the age of digests.
 
         >>> neighbours = Neighbours()
         >>> neighbours.take(Digest('b', 'd', 1, {}), 1.0)
@@ -225,29 +226,31 @@
         >>> neighbours.list_heard(7.5)
         ['b']
         """
-        for box, row in self._heard.items():
-            self._heard[box] = row._replace(at=row.at + seconds)
+        for box, row in self._received.items():
+            self._received[box] = row._replace(at=row.at + seconds)
         self._summed = None
 
     def list_heard(self, now):
-        """List the names of the boxes heard of shortly before `now`."""
-        return [box for box, row in self._heard.items() if row.is_fresh(now)]
+        """List the names of the boxes whose digest is fresh at `now`."""
+        return [
+            box for box, row in self._received.items() if row.is_fresh(now)
+        ]
 
     def get_load(self, target, counts, now):
-        """Give what others have at a target.
+        """Return the load that peers put on a target.
 
         Parameters
         ----------
         counts : dict of str to int
-            Other boxes that there are, by domain; those not heard count like
-            those that were.  A domain of which none is heard is cut off, and
-            reaches other targets than this box.
+            Number of peers, by domain.  Peers without a digest count like
+            those with one.  A domain without any digest is partitioned from
+            this box and reaches other targets.
 
         Returns
         -------
         tuple of float
-            As in the digests: tokens waiting, requests running, tokens
-            held, requests waiting.
+            As in the digests: tokens waiting, requests running, tokens held,
+            requests waiting.
 
         >>> neighbours = Neighbours()
         >>> loads = code_loads({'t': [1, 2, 9, 3]})
@@ -260,26 +263,26 @@
         (0.0, 0.0, 0.0, 0.0)
         """
         self._sum(now)
-        if not self._sums_heard:
-            return tuple(map(float, NOTHING))
-        boxes = sum(counts.get(domain, 0) for domain in self._domains_heard)
-        scale = max(boxes / self._sums_heard, 1.0)
-        sums = self._sums.get(code_target(target), NOTHING)
+        if not self._sums_boxes:
+            return tuple(map(float, NO_LOAD))
+        boxes = sum(counts.get(domain, 0) for domain in self._sums_domains)
+        scale = max(boxes / self._sums_boxes, 1.0)
+        sums = self._sums.get(code_target(target), NO_LOAD)
         return tuple(n * scale for n in sums)
 
     def _sum(self, now):
-        # Once in a while: digests change some times a second, and every
-        # choice asks for every target.
-        if self._summed is not None and now - self._summed < SUM_S:
+        # Computed only every SUM_CACHE_S: digests change some times a second,
+        # and every routing decision reads the load of every target.
+        if self._summed is not None and now - self._summed < SUM_CACHE_S:
             return
         sums = {}
-        rows = [row for row in self._heard.values() if row.is_fresh(now)]
+        rows = [row for row in self._received.values() if row.is_fresh(now)]
         for row in rows:
             for target, load in row.digest.loads.items():
-                known = sums.get(target, NOTHING)
+                known = sums.get(target, NO_LOAD)
                 pairs = zip(known, load, strict=True)
                 sums[target] = tuple(a + b for a, b in pairs)
         self._sums = sums
-        self._sums_heard = len(rows)
-        self._domains_heard = {row.digest.domain for row in rows}
+        self._sums_boxes = len(rows)
+        self._sums_domains = {row.digest.domain for row in rows}
         self._summed = now
--- a/landingspool/decisions/gateway/reach.py
+++ b/landingspool/decisions/gateway/reach.py
@@ -1,43 +1,44 @@
-"""Which targets no connection can be made to, and when to try again.
-
-A target that went dark costs every request sent to it the whole wait for a
-connection, and each box would learn of it by requests of its own.  So one
-failed connection takes a target out until a connection made for that
-purpose comes up, and boxes tell each other which targets are out.  A word
-of another box only makes this one look for itself: the path that failed may
-be the other box's own.
+"""Tracks the targets that accept no connection, and when to probe them.
+
+A request sent to an unreachable target waits for the whole connection
+time-out, and without reports each box would learn of the target by requests of
+its own.  So one failed connection excludes a target until a probe connects,
+and boxes report excluded targets to each other.  A report from a peer only
+makes this box probe the target: the path that failed may be the peer's own.
 """
 
 import typing
 
-# Seconds from a failed connection to the next try, doubled up to the most:
-# a target is back after a second or more, and a try costs one small packet.
+# Seconds from a failed connection to the next probe, doubled up to the
+# maximum: a target is back after a second or more, and a probe costs one small
+# packet.
 RETRY_S = 0.3
-MOST_RETRY_S = 2.0
-# Seconds for which a word of another box is not followed after this box saw
-# for itself: each look is a new connection, which has a price.
+MAX_RETRY_S = 2.0
+# Seconds for which reports from peers are ignored after this box has reached
+# the target itself: each probe is a new connection, which has a cost.
 SURE_S = 10.0
-# The same for a box that looks after the target for others.
+# The same for a box that watches the target for its peers.
 WATCHER_SURE_S = 1.0
-# Seconds to the next try where other boxes look after a target: they tell
-# when it is back, and this is for the case that nobody does.  In 15 s with 13
-# dark targets 195 boxes made 18,300 probes, and 9,500 since (played without a
-# network).
+# Seconds to the next probe if peers watch a target: they report when it is
+# back, and this covers the case that none does.  With 13 unreachable targets,
+# 195 boxes that all kept probing made 18,300 probes in 15 s; with this pause
+# they make 9,500.
 WATCHED_RETRY_S = 8.0
-# Connections in a row that failed before other boxes are told: a single one
-# may only have met a full queue, and each word makes all boxes look.
-TOLD_AFTER = 2
+# Consecutive failed connections before a target is reported to peers: a single
+# failure may only have met a full queue, and each report makes all boxes
+# probe.
+REPORT_AFTER = 2
 
 
-class Out(typing.NamedTuple):
+class Outage(typing.NamedTuple):
     """A target that gets no requests.
 
     Attributes
     ----------
     failed : int
-        Connections that failed in a row; 0: only another box said so.
+        Consecutive failed connections; 0: only a peer reported it.
     due : float
-        When the next one is tried.
+        When the next probe is due.
     """
 
     failed: int
@@ -45,44 +46,44 @@
 
 
 class Reach:
-    """The targets that are out, as one box sees them."""
+    """The unreachable targets, as seen by one box."""
 
     def __init__(self):
-        self._out = {}
+        self._outages = {}
         self._reached = {}
 
     def record_failed(self, name, now, watched=False):
-        """Note that no connection to a target came up.
+        """Record that a connection to a target failed.
 
         Parameters
         ----------
         watched : bool
-            Whether other boxes look after it.
+            Whether other boxes watch it.
 
         >>> reach = Reach()
         >>> reach.record_failed('a', 10.0)
         >>> reach.is_out('a'), reach.list_due(10.1), reach.list_due(10.4)
         (True, [], ['a'])
         """
-        known = self._out.get(name)
+        known = self._outages.get(name)
         failed = known.failed + 1 if known is not None else 1
-        pause = min(RETRY_S * 2 ** (failed - 1), MOST_RETRY_S)
+        pause = min(RETRY_S * 2 ** (failed - 1), MAX_RETRY_S)
         if watched:
             pause = WATCHED_RETRY_S
-        self._out[name] = Out(failed, now + pause)
+        self._outages[name] = Outage(failed, now + pause)
 
     def record_reached(self, name, now):
-        """Note that a connection to a target came up, or that it answered."""
-        self._out.pop(name, None)
+        """Record that a target was connected to or answered."""
+        self._outages.pop(name, None)
         self._reached[name] = now
 
     def suspect(self, name, now, sure_s=SURE_S):
-        """Take in that another box can't connect to a target.
+        """Record a peer's report that it can't connect to a target.
 
         Parameters
         ----------
         sure_s : float
-            Seconds for which what this box saw for itself counts more.
+            Seconds for which this box's own connection overrides the report.
 
         >>> reach = Reach()
         >>> reach.record_reached('a', 9.0)
@@ -93,13 +94,13 @@
         >>> reach.is_out('a'), reach.list_due(19.0), reach.list_failed()
         (True, ['a'], [])
         """
-        if name in self._out:
+        if name in self._outages:
             return
         if now - self._reached.get(name, -sure_s) >= sure_s:
-            self._out[name] = Out(0, now)
+            self._outages[name] = Outage(0, now)
 
     def hasten(self, name, now):
-        """Take in that a target is back for another box.
+        """Expedite the next probe: a peer reports that the target is back.
 
         >>> reach = Reach()
         >>> reach.record_failed('a', 10.0, watched=True)
@@ -109,24 +110,24 @@
         >>> reach.list_due(11.0)
         ['a']
         """
-        out = self._out.get(name)
+        out = self._outages.get(name)
         if out is not None:
-            self._out[name] = out._replace(due=min(out.due, now))
+            self._outages[name] = out._replace(due=min(out.due, now))
 
     def is_out(self, name):
-        """Tell whether a target gets no requests."""
-        return name in self._out
+        """Return whether a target gets no requests."""
+        return name in self._outages
 
     def list_due(self, now):
-        """List the targets to which a connection is to be tried."""
-        return [name for name, out in self._out.items() if now >= out.due]
+        """List the targets that are due to be probed."""
+        return [name for name, out in self._outages.items() if now >= out.due]
 
     def list_failed(self):
         """List the targets that this box itself could not connect to."""
-        return [name for name, out in self._out.items() if out.failed]
+        return [name for name, out in self._outages.items() if out.failed]
 
     def list_told(self):
-        """List the targets that other boxes are told of.
+        """List the targets that are reported to peers.
 
         >>> reach = Reach()
         >>> reach.record_failed('a', 10.0)
@@ -136,10 +137,10 @@
         >>> reach.list_told()
         ('a',)
         """
-        rows = self._out.items()
-        return tuple(name for name, out in rows if out.failed >= TOLD_AFTER)
+        rows = self._outages.items()
+        return tuple(name for name, out in rows if out.failed >= REPORT_AFTER)
 
     def forget(self, name):
-        """Forget a target that has gone."""
-        self._out.pop(name, None)
+        """Forget a target that is gone."""
+        self._outages.pop(name, None)
         self._reached.pop(name, None)
--- a/landingspool/decisions/gateway/rests.py
+++ b/landingspool/decisions/gateway/rests.py
@@ -1,13 +1,15 @@
-"""Keeps this box away from targets that have asked it for rest.
-
-A target that turns a request away may name the seconds for which it wants
-none of the box that sent it.  That binds this box alone, through every way to
-the target, and each such answer for itself: neither a shorter rest asked for
-later nor a success in between ends a longer one.  It belongs to one life of
-the target, also where its entry goes and comes back meanwhile.
-
-After the rest one request at a time goes there, until one is answered that
-was sent after it: what had to wait elsewhere must not come all at once.
+"""Keeps this box from sending to targets that have asked it to back off.
+
+A target that rejects a request may name the seconds for which it wants no
+requests from the box that sent it.  The back-off applies to this box alone,
+and to every kind of request or call.  Each such answer stands by itself:
+neither a shorter back-off asked for later nor a success ends a longer one.  It
+belongs to one incarnation of the target, also if its entry lapses and comes
+back during it.
+
+After the back-off one request at a time is sent, until one is answered that
+was sent after it: requests that had to wait elsewhere must not arrive all at
+once.
 """
 
 import collections
@@ -15,47 +17,49 @@
 
 from landingspool.decisions.gateway import bounded
 
-# Part of a rest by which it is prolonged at most, by chance: the boxes that
-# were refused together do not return together.
+# Maximum random share by which a back-off is extended: boxes that were
+# rejected together must not return together.
 SPREAD = 0.1
-# Seconds by which a rest has to be prolonged to be logged again: refusals of
-# what was under way come one after the other.
-TOLD_AGAIN_S = 0.5
-# Seconds after which a request that has no answer keeps no other one back.
+# Seconds by which a back-off has to be extended to be logged again: rejections
+# of requests under way arrive one after the other.
+RELOG_S = 0.5
+# Seconds after which an unanswered request no longer blocks the next one.
 TRIAL_S = 1.0
-# Lives with rests at the same time: more than deployments have targets.
-MOST_KNOWN = 1024
+# Incarnations with a back-off at the same time: more than deployments have
+# targets.
+MAX_KNOWN = 1024
 
 
-class Rest(typing.NamedTuple):
-    """The rest of one target.
+class Backoff(typing.NamedTuple):
+    """The back-off of one target.
 
     Attributes
     ----------
     asked : float
-        When the answer came that asked for it.
+        When the answer was received that asked for it.
     until : float
+        When it ends.
     tried : float or None
-        When a request went there after it; None: none has yet.
-    is_told : bool
-        Whether take_over has given its end.
+        When a request was last sent since then; None: none was.
+    is_reported : bool
+        Whether take_over has returned its end.
     """
 
     asked: float
     until: float
     tried: float | None = None
-    is_told: bool = False
+    is_reported: bool = False
 
 
-class Asked(typing.NamedTuple):
-    """A rest that has begun, or was prolonged, for the log."""
+class BackoffChange(typing.NamedTuple):
+    """A back-off that has begun or was extended, for the log."""
 
     name: str
-    rest: Rest
+    rest: Backoff
 
 
 class Rests:
-    """The rests that targets have asked of this box.
+    """The back-offs that targets have asked of this box.
 
     Parameters
     ----------
@@ -63,8 +67,8 @@
 
     Attributes
     ----------
-    fresh : list of Asked
-        What was asked for since it was last emptied.
+    fresh : list of BackoffChange
+        What was asked for since the list was last emptied.
     """
 
     def __init__(self, rng):
@@ -74,7 +78,7 @@
         self._ended = []
 
     def record_asked(self, name, seconds, now):
-        """Take in that a target asks for so many seconds of rest.
+        """Record that a target asks for a back-off of some seconds.
 
         >>> import random
         >>> rests = Rests(random.Random(1))
@@ -87,24 +91,24 @@
         known = self._known.get(name)
         if known is not None and known.until >= until:
             return
-        rest = Rest(now, until)
-        if known is None or until > max(known.until, now) + TOLD_AGAIN_S:
-            self.fresh.append(Asked(name, rest))
+        rest = Backoff(now, until)
+        if known is None or until > max(known.until, now) + RELOG_S:
+            self.fresh.append(BackoffChange(name, rest))
         self._known[name] = rest
         self._known.move_to_end(name)
-        bounded.trim(self._known, MOST_KNOWN)
+        bounded.trim(self._known, MAX_KNOWN)
 
     def record_sent(self, name, now):
-        """Note that a request goes to a target."""
+        """Record that a request is sent to a target."""
         known = self._known.get(name)
         if known is not None:
             self._known[name] = known._replace(tried=now)
 
     def record_answered(self, name, asked):
-        """Note that a target has answered the request sent to it at `asked`.
+        """Record that a target has answered the request sent to it at `asked`.
 
-        What is asked beside the requests takes no place there, so that its
-        answer says nothing of what requests would find.
+        Calls other than requests use no slot of the target, so their answers
+        say nothing about how it would respond to requests.
 
         >>> import random
         >>> rests = Rests(random.Random(1))
@@ -124,16 +128,16 @@
             self._end(name)
 
     def may_send(self, name, now):
-        """Tell whether this box may send a target one more request now."""
-        return not self.find_wait(name, now)
+        """Return whether this box may send a target one more request now."""
+        return not self.compute_wait(name, now)
 
-    def is_resting(self, name, now):
-        """Tell whether a target wants nothing of this box now."""
+    def is_backing_off(self, name, now):
+        """Return whether this box is backing off from a target now."""
         known = self._known.get(name)
         return known is not None and now < known.until
 
-    def find_wait(self, name, now):
-        """Give the seconds until this box may send to a target; 0: it may."""
+    def compute_wait(self, name, now):
+        """Return the seconds until this box may send; 0: it may now."""
         known = self._known.get(name)
         if known is None:
             return 0.0
@@ -144,7 +148,7 @@
         return max(known.tried + TRIAL_S - now, 0.0)
 
     def list_resting(self, now):
-        """Give the seconds left of each rest, by the name of the life."""
+        """Return the seconds left of each back-off, by incarnation name."""
         return {
             name: round(known.until - now, 1)
             for name, known in self._known.items()
@@ -152,7 +156,7 @@
         }
 
     def take_over(self, now):
-        """Give the names of those whose rest has ended since last asked.
+        """Return the names whose back-off has ended since the last call.
 
         >>> import random
         >>> rests = Rests(random.Random(1))
@@ -162,12 +166,12 @@
         """
         over, self._ended = self._ended, []
         for name, known in list(self._known.items()):
-            if known.until <= now and not known.is_told:
-                self._known[name] = known._replace(is_told=True)
+            if known.until <= now and not known.is_reported:
+                self._known[name] = known._replace(is_reported=True)
                 over.append(name)
         return over
 
     def _end(self, name):
         known = self._known.pop(name)
-        if not known.is_told:
+        if not known.is_reported:
             self._ended.append(name)
--- a/landingspool/decisions/gateway/room.py
+++ b/landingspool/decisions/gateway/room.py
@@ -1,16 +1,16 @@
-"""The room that limits and rests leave a box at the targets of a service.
+"""Computes the capacity that limits and back-offs leave a box.
 
-It matters where all targets of a service name limits: then it says who may
-have some of it.  Where none may get a request it says when who gets none
-should come back.
+It matters if all targets of a service have limits: it then decides which
+requests may use some of the capacity.  If no target may get a request it says
+when refused callers should retry.
 """
 
 from landingspool.decisions.gateway import limits as limits_module
 from landingspool.decisions.gateway import scarcity
 
-# Requests a second that a box sends to a target after its rest, at least: one
-# at a time goes there until the first is answered.
-RESTED_PER_S = 1.0
+# Minimum rate in requests a second to a target after its back-off: one request
+# at a time is sent until the first is answered.
+AFTER_BACKOFF_PER_S = 1.0
 
 
 class Room:
@@ -28,26 +28,27 @@
         self._scarcity = scarcity.Scarcity()
 
     def record(self, work, now):
-        """Note that a request has come."""
+        """Record that a request has arrived."""
         self._scarcity.record(work.service, work.route.priority, now)
 
     def take(self, work, table, now):
-        """Tell whether a request may have some of the room that is scarce."""
+        """Return whether a request may use some of the scarce capacity."""
         limits = self._bars.find_limits(work, table)
         known = self._fleet.list_service(work.service)
         entries = self._bars.list_limited(known, limits, now)
-        room_per_s = self._measure(entries, now)
+        free_per_s = self._sum_capacity(entries, now)
         return self._scarcity.take(
-            work.service, work.route.priority, room_per_s, now
+            work.service, work.route.priority, free_per_s, now
         )
 
     def find_return(self, work, table, left_s, now):
-        """Give the seconds after which a refused caller finds room.
+        """Return the seconds after which a refused caller should retry.
 
-        The first rest or limit to end says when, and the callers of this box
-        are given one time after the other from then on, the urgent first.
-        A box without permits of its own can't know when other boxes have room:
-        half of all permits are free again by half a window.
+        The first back-off or limit to end sets the time.  From then on the
+        callers of this box get one time after the other, more urgent
+        priorities first.  A box without permits of its own can't know when
+        peers have capacity: half of all permits are free again after half a
+        window.
 
         Parameters
         ----------
@@ -56,36 +57,37 @@
         """
         limits = self._bars.find_limits(work, table)
         known = self._fleet.list_service(work.service)
-        entries = self._bars.list_passing(known, limits, now)
-        room_per_s = self._measure(entries, now)
-        wait_s = self._find_wait(entries, now)
+        entries = self._bars.list_temporary(known, limits, now)
+        free_per_s = self._sum_capacity(entries, now)
+        wait_s = self._compute_wait(entries, now)
         if wait_s is None:
-            room_per_s = self._measure_even(entries)
+            free_per_s = self._get_even_share(entries)
             wait_s = limits_module.WINDOW_S / 2
-        return self._scarcity.promise(
-            work.service, work.route.priority, room_per_s, wait_s, left_s, now
+        return self._scarcity.compute_retry_after(
+            work.service, work.route.priority, free_per_s, wait_s, left_s, now
         )
 
-    def _measure(self, entries, now):
-        """Give the requests a second that this box may send to targets."""
-        return sum(self._measure_one(entry, now) for entry in entries)
+    def _sum_capacity(self, entries, now):
+        """Return the requests a second that this box may send to targets."""
+        return sum(self._get_capacity(entry, now) for entry in entries)
 
-    def _measure_one(self, entry, now):
+    def _get_capacity(self, entry, now):
         limits = self._bars.limits
         if limits.find(entry.name) is not None:
             return limits.find_room(entry.name, now)
-        # A part of its places, each of which serves one a second and more.
+        # This box's part of the target's slots, each of which serves at least
+        # one request a second.
         boxes = max(self._bars.shares.count_boxes(), 1)
-        return max(entry.slots / boxes, RESTED_PER_S)
+        return max(entry.slots / boxes, AFTER_BACKOFF_PER_S)
 
-    def _measure_even(self, entries):
-        """Give an even part for each box of what targets take."""
+    def _get_even_share(self, entries):
+        """Return an even share for each box of the targets' limits."""
         names = [entry.name for entry in entries]
         named = self._bars.limits.list_named(names).values()
         boxes = max(self._bars.shares.count_boxes(), 1)
         return sum(known.per_s for known in named) / boxes
 
-    def _find_wait(self, entries, now):
-        """Give the seconds until one may get a request; None: no permit."""
-        waits = [self._bars.find_wait(entry.name, now) for entry in entries]
+    def _compute_wait(self, entries, now):
+        """Return the seconds until a request may be sent; None: no permit."""
+        waits = [self._bars.compute_wait(entry.name, now) for entry in entries]
         return min((wait for wait in waits if wait is not None), default=None)
--- a/landingspool/decisions/gateway/rumors.py
+++ b/landingspool/decisions/gateway/rumors.py
@@ -1,40 +1,40 @@
-"""Notices that a box has still to tell the others, some times each.
+"""Spreads notices to peers by gossip, each of them in several digests.
 
-Digests are small and may be lost: each takes the words that matter most, and
-a word goes into several of them.  Who hears a new one tells it on, so that
-it reaches all boxes where each digest reaches only some.
+Digests are small and may be lost: each takes the most important notices, and a
+notice goes into several of them.  A box that receives a new notice passes it
+on, so that it reaches all boxes although each digest reaches only some.
 """
 
 from landingspool.decisions.gateway import neighbours
 
-# Notices in one digest: 23 bytes each, so that it stays in one packet.
-MOST_TOLD = 40
-# Digests in which a word is told, so that a lost datagram does not matter: of
-# 195 boxes all hear it within 2.8 s though 30 % of the datagrams are lost.
-TELLS = 3
+# Notices in one digest: 23 bytes each, so that it fits into one packet.
+MAX_NOTICES = 40
+# Digests that carry a notice, so that a lost datagram does not matter: all of
+# 195 boxes receive it within 2.8 s even if 30 % of the datagrams are lost.
+REPEATS = 3
 
 
 class Rumors:
-    """The words of one box that are not told yet, by what they are of."""
+    """The notices that a box has yet to send, by request and target."""
 
     def __init__(self):
         self._at = {}
-        self._told = {}
+        self._sent_counts = {}
 
     def put(self, fingerprint, life, at):
-        """Tell from now on of what happened at `at`."""
+        """Queue a notice of what happened at `at`."""
         key = fingerprint, life
         self._at[key] = at
-        self._told[key] = 0
+        self._sent_counts[key] = 0
 
     def tell(self, now, weigh):
-        """Give the words for the next digest.
+        """Return the notices for the next digest.
 
         Parameters
         ----------
         weigh : callable
-            ``weigh(fingerprint)``; the greater goes first, then what was
-            told least often.
+            ``weigh(fingerprint)``; the greatest go first, then those sent
+            least often.
 
         Returns
         -------
@@ -48,18 +48,19 @@
         [1, 1, 0]
         """
         order = sorted(
-            self._told, key=lambda key: (-weigh(key[0]), self._told[key])
+            self._sent_counts,
+            key=lambda key: (-weigh(key[0]), self._sent_counts[key]),
         )
-        words = []
-        for key in order[:MOST_TOLD]:
-            words.append(make_notice(*key, self._at[key], now))
-            self._told[key] += 1
-            if self._told[key] >= TELLS:
-                del self._told[key], self._at[key]
-        return words
+        notices = []
+        for key in order[:MAX_NOTICES]:
+            notices.append(make_notice(*key, self._at[key], now))
+            self._sent_counts[key] += 1
+            if self._sent_counts[key] >= REPEATS:
+                del self._sent_counts[key], self._at[key]
+        return notices
 
 
 def make_notice(fingerprint, life, at, now):
-    """Give the word of what happened at `at`."""
+    """Return the notice of what happened at `at`."""
     age_ms = max(int((now - at) * 1000), 0)
     return neighbours.CrashNotice(fingerprint, life, age_ms)
--- a/landingspool/decisions/gateway/tail.py
+++ b/landingspool/decisions/gateway/tail.py
@@ -1,19 +1,19 @@
-"""The newest records of a topic, kept so that other boxes can follow it.
+"""Holds the newest records of a topic so that other boxes can follow it.
 
-In a large fleet two boxes of each domain read the platform's store, and
-the others read from these, by the same offsets: a follower need not know
-which of both it reads from.
+In a large fleet two boxes of each domain read the platform's store, and the
+others read from these two, by the same offsets: a follower need not know which
+of the two it reads from.
 """
 
 import typing
 
-# Records kept: some minutes of a busy topic; who is further behind takes
-# the newest of each key.
-MOST_RECORDS = 3000
+# Records that are kept, some minutes of a busy topic.  A follower that is
+# further behind reads the newest record of each key.
+MAX_RECORDS = 3000
 
 
 class Record(typing.NamedTuple):
-    """One record of a topic; the value is empty where it drops its key."""
+    """One record of a topic; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -28,37 +28,37 @@
 
 
 class Tail:
-    """One topic as a reader has it.
+    """The end of one topic, as a reader has it.
 
     Parameters
     ----------
     newest_only : bool
-        Whether a record makes the earlier ones of its key needless; these
-        are then not handed on.  Four tables published within 0.3 s would
-        otherwise go to each follower over a link that bears 0.6 MB/s.
+        Whether a record replaces the earlier ones of its key, which are then
+        not passed on.  Otherwise four tables published within 0.3 s would all
+        be sent to each follower over a link that carries 0.6 MB/s.
     most : int
-        Records kept.
+        Maximum number of records kept.
 
     Attributes
     ----------
     end : int or None
         The offset after the newest record; None before any read.
     proved : float or None
-        When the newest read was sent that told all there was.
+        When the newest read was sent that returned all records there were.
     """
 
-    def __init__(self, newest_only=False, most=MOST_RECORDS):
+    def __init__(self, newest_only=False, most=MAX_RECORDS):
         self.end = None
         self.proved = None
         self._newest_only = newest_only
         self._most = most
-        # From here on nothing is missing that a follower needs.
+        # From this offset on no record is missing that a follower needs.
         self._first = None
         self._records = {}
         self._newest = {}
 
     def reset(self, records, end, sent):
-        """Begin anew from the newest Record of each key."""
+        """Restart from the newest Record of each key."""
         self._records.clear()
         self._newest = {record.key: record for record in records}
         self._first = end
@@ -66,7 +66,7 @@
         self.proved = sent
 
     def extend(self, page):
-        """Add a store.Page."""
+        """Append the records of a store.Page."""
         for record in page.records:
             self._keep(record)
             self._newest[record.key] = record
@@ -77,7 +77,7 @@
             self.proved = page.sent
 
     def read(self, start):
-        """Give the Span from `start` on, or None where it is gone.
+        """Return the Span from `start` on, or None if it is no longer kept.
 
         >>> tail = Tail()
         >>> tail.reset([Record('a', b'1', 4)], 5, 0.0)
@@ -94,14 +94,14 @@
         return Span(tuple(rows), self.end)
 
     def read_newest(self):
-        """Give the newest Record of each key."""
+        """Return the newest Record of each key."""
         return tuple(self._newest.values())
 
     def _keep(self, record):
-        place = record.key if self._newest_only else record.offset
-        # Put in anew, so that the records stay in the order of offsets.
-        self._records.pop(place, None)
-        self._records[place] = record
+        slot = record.key if self._newest_only else record.offset
+        # Reinserted, so that the records stay in the order of offsets.
+        self._records.pop(slot, None)
+        self._records[slot] = record
         if len(self._records) > self._most:
             oldest = next(iter(self._records))
             self._first = self._records.pop(oldest).offset + 1
--- a/landingspool/decisions/gateway/watching.py
+++ b/landingspool/decisions/gateway/watching.py
@@ -1,10 +1,10 @@
-"""Which boxes of a failure domain look after targets that went dark.
+"""Assigns the boxes of a failure domain that probe unreachable targets.
 
-Where each box looks after each dark target by itself, probes grow with the
+If each box probes each unreachable target, the number of probes grows with the
 product of both: 195 boxes and 13 targets made some 1,200 a second.  So in a
-large domain two boxes go on trying each dark target, found by rendezvous
-hashing, and the others wait for their word that it is back.  A watcher that
-has not been heard for a second is not waited for.
+large domain two boxes, assigned by rendezvous hashing, keep probing each
+unreachable target, and the others wait for their report that it is back.  A
+watcher that has sent no digest for a second is not waited for.
 """
 
 import typing
@@ -12,39 +12,39 @@
 from landingspool.decisions.gateway import readers
 from landingspool.decisions import ownership
 
-# Boxes of a domain that look after one target: one may fail unnoticed.
-WATCHERS = 2
-# Seconds for which a box's word counts: five digests.
+# Boxes of a domain that watch one target: one may fail unnoticed.
+WATCHERS_PER_TARGET = 2
+# Seconds for which the report of a box counts: five digests.
 FRESH_S = 1.0
 
 
-class Word(typing.NamedTuple):
-    """The targets that a box could not reach, as it told at `at`."""
+class Report(typing.NamedTuple):
+    """The targets that a box could not reach, as reported at `at`."""
 
     unreached: frozenset
     at: float
 
 
 class Watching:
-    """The duties of the boxes of one domain, as one of them sees them."""
+    """The watchers of one domain, as seen by one of its boxes."""
 
     def __init__(self):
         self._box = ''
         self._members = ()
-        self._words = {}
+        self._reports = {}
 
     def set_members(self, box, near):
-        """Set the name of this box and those of the others of its domain."""
+        """Set the name of this box and those of its peers in the domain."""
         self._box = box
         self._members = tuple(sorted((*near, box)))
 
     def hear(self, box, unreached, now):
-        """Take in which targets another box can't reach.
+        """Record which targets a peer can't reach.
 
         Returns
         -------
         frozenset of str
-            Targets that it looks after and reaches again.
+            Targets that the peer watches and reaches again.
 
         >>> watching = Watching()
         >>> watching.set_members('a', 'bcdef')
@@ -52,31 +52,31 @@
         >>> watching.hear(first, ('t',), 1.0), watching.hear(first, (), 1.2)
         (frozenset(), frozenset({'t'}))
         """
-        known = self._words.get(box)
-        word = Word(frozenset(unreached), now)
-        self._words[box] = word
+        known = self._reports.get(box)
+        report = Report(frozenset(unreached), now)
+        self._reports[box] = report
         if known is None:
             return frozenset()
-        back = known.unreached - word.unreached
+        back = known.unreached - report.unreached
         return frozenset(t for t in back if box in self.list_watchers(t))
 
     def exclude_stall(self, seconds):
-        """Leave out seconds for which this box did not run."""
-        for box, word in self._words.items():
-            self._words[box] = word._replace(at=word.at + seconds)
+        """Exclude a stall of this box from the age of reports."""
+        for box, report in self._reports.items():
+            self._reports[box] = report._replace(at=report.at + seconds)
 
     def list_watchers(self, target):
-        """List the boxes that look after a target; empty: each for itself."""
+        """List the boxes that watch a target; empty: each box probes it."""
         if len(self._members) <= readers.MOST_ALONE:
             return ()
-        return ownership.rank(target, self._members)[:WATCHERS]
+        return ownership.rank(target, self._members)[:WATCHERS_PER_TARGET]
 
     def is_duty(self, target):
-        """Tell whether this box looks after a target for others."""
+        """Return whether this box watches a target for its peers."""
         return self._box in self.list_watchers(target)
 
     def is_watched(self, target, now):
-        """Tell whether others look after a target and find it dark.
+        """Return whether peers watch a target and find it unreachable.
 
         >>> watching = Watching()
         >>> watching.set_members('a', 'bcdef')
@@ -92,8 +92,10 @@
         watchers = self.list_watchers(target)
         if self._box in watchers:
             return False
-        words = [self._words[box] for box in watchers if box in self._words]
+        reports = [
+            self._reports[box] for box in watchers if box in self._reports
+        ]
         return any(
-            target in word.unreached and now - word.at < FRESH_S
-            for word in words
+            target in report.unreached and now - report.at < FRESH_S
+            for report in reports
         )
--- a/tests/gateway/test_coldness.py
+++ b/tests/gateway/test_coldness.py
@@ -96,7 +96,7 @@
     """
     quota = coldness.plan_quota(MOST)
     assert quota.permits * quota.requests >= 16
-    assert int(MOST // (coldness.LISTS * 71)) == 0
+    assert int(MOST // (coldness.MEMBER_LISTS * 71)) == 0
     sent = play(make_boxes(71), 2.9, 400.0)
     assert sum(map(len, sent.values())) / 2.9 > 190
 
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -37,7 +37,7 @@
 REPLACED_S = 0.2
 # Ends after which a request reaches no further target, and sends beside them
 # that may be under way or not known to a box yet.
-MOST_ENDS = 3
+MAX_CRASHES = 3
 MOST_UNKNOWN = 1
 
 
@@ -102,7 +102,7 @@
             hub = hubs[number % BOXES]
             await site.ask(hub, '/resumed/a', FATAL)
             await asyncio.sleep(PAUSE_S)
-        assert engines.count_ends() <= MOST_ENDS + MOST_UNKNOWN
+        assert engines.count_ends() <= MAX_CRASHES + MOST_UNKNOWN
 
     run(check)
 
@@ -123,7 +123,7 @@
 def test_a_box_that_starts_alone_has_read_under_what_targets_ended():
     async def check(deployment, engines):
         (hub,) = await site.start_boxes(deployment, 1)
-        while engines.count_ends() < MOST_ENDS:
+        while engines.count_ends() < MAX_CRASHES:
             await site.ask(hub, '/resumed/a', FATAL)
         await site.wait_until(lambda: not hub.marks.list_due())
         deployment.hubs.remove(hub)
@@ -145,7 +145,7 @@
 def test_the_same_body_of_another_path_counts_by_itself():
     async def check(deployment, engines):
         (hub,) = await site.start_boxes(deployment, 1)
-        while engines.count_ends() < MOST_ENDS:
+        while engines.count_ends() < MAX_CRASHES:
             await site.ask(hub, '/resumed/a', FATAL)
         ends = engines.count_ends()
         await site.wait_until(lambda: hub.view.fleet.entries)
--- a/tests/gateway/test_readers.py
+++ b/tests/gateway/test_readers.py
@@ -121,7 +121,7 @@
     known.shun(second, 1.0)
     third = known.pick(others, 0.0, 1.0)
     assert third not in (first, second)
-    assert known.pick(others, 0.0, 1.0 + readers.SHUN_S) == first
+    assert known.pick(others, 0.0, 1.0 + readers.AVOID_S) == first
 
 
 def test_where_the_readers_fail_two_others_read_for_all():
