--- a/bench/many.py
+++ b/bench/many.py
@@ -18,7 +18,7 @@
 from bench import engine
 from bench import mixes
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import prompts
 from landingspool.decisions.gateway import rollouts
@@ -190,11 +190,11 @@
     def _tell_others(self, box, now):
         view, size = self._views[box], self._size
         self._numbers[box] += 1
-        digest = neighbours.Digest(
+        digest = peer_digests.Digest(
             str(box),
             view.domain,
             self._numbers[box],
-            neighbours.code_loads(view.loads.list_told()),
+            peer_digests.hash_loads(view.loads.list_told()),
             view.reach.list_told(),
             limits=view.bars.limits.tell(now),
         )
@@ -203,7 +203,7 @@
             if other != box:
                 same = self._views[other].domain == view.domain
                 (near if same else far).append(other)
-        for other in neighbours.pick_told(near, far, view.rng):
+        for other in peer_digests.pick_recipients(near, far, view.rng):
             self._views[other].take_digest(digest, now)
 
     def _is_dark(self, address, now):
--- a/landingspool/decisions/gateway/rests.py
+++ b/landingspool/decisions/gateway/backoffs.py
@@ -58,7 +58,7 @@
     rest: Backoff
 
 
-class Rests:
+class Backoffs:
     """The back-offs that targets have asked of this box.
 
     Parameters
@@ -77,14 +77,14 @@
         self._known = collections.OrderedDict()
         self._ended = []
 
-    def record_asked(self, name, seconds, now):
+    def record_backoff(self, name, seconds, now):
         """Record that a target asks for a back-off of some seconds.
 
         >>> import random
-        >>> rests = Rests(random.Random(1))
-        >>> rests.record_asked('t', 3.0, 10.0)
-        >>> rests.record_asked('t', 0.5, 10.2)
-        >>> rests.may_send('t', 13.0), rests.may_send('t', 13.31)
+        >>> backoffs = Backoffs(random.Random(1))
+        >>> backoffs.record_backoff('t', 3.0, 10.0)
+        >>> backoffs.record_backoff('t', 0.5, 10.2)
+        >>> backoffs.may_send('t', 13.0), backoffs.may_send('t', 13.31)
         (False, True)
         """
         until = now + seconds * (1 + self._rng.uniform(0, SPREAD))
@@ -111,16 +111,16 @@
         say nothing about how it would respond to requests.
 
         >>> import random
-        >>> rests = Rests(random.Random(1))
-        >>> rests.record_asked('t', 1.0, 10.0)
-        >>> rests.record_answered('t', 10.1)
-        >>> rests.may_send('t', 10.5)
+        >>> backoffs = Backoffs(random.Random(1))
+        >>> backoffs.record_backoff('t', 1.0, 10.0)
+        >>> backoffs.record_answered('t', 10.1)
+        >>> backoffs.may_send('t', 10.5)
         False
-        >>> rests.record_sent('t', 11.2)
-        >>> rests.may_send('t', 11.3), rests.may_send('t', 12.3)
+        >>> backoffs.record_sent('t', 11.2)
+        >>> backoffs.may_send('t', 11.3), backoffs.may_send('t', 12.3)
         (False, True)
-        >>> rests.record_answered('t', 11.2)
-        >>> rests.may_send('t', 11.3)
+        >>> backoffs.record_answered('t', 11.2)
+        >>> backoffs.may_send('t', 11.3)
         True
         """
         known = self._known.get(name)
@@ -147,7 +147,7 @@
             return 0.0
         return max(known.tried + TRIAL_S - now, 0.0)
 
-    def list_resting(self, now):
+    def list_backoffs(self, now):
         """Return the seconds left of each back-off, by incarnation name."""
         return {
             name: round(known.until - now, 1)
@@ -159,10 +159,10 @@
         """Return the names whose back-off has ended since the last call.
 
         >>> import random
-        >>> rests = Rests(random.Random(1))
-        >>> rests.record_asked('t', 1.0, 10.0)
-        >>> rests.take_over(10.5), rests.take_over(11.2), rests.take_over(11.3)
-        ([], ['t'], [])
+        >>> backoffs = Backoffs(random.Random(1))
+        >>> backoffs.record_backoff('t', 1.0, 10.0)
+        >>> [backoffs.take_over(at) for at in (10.5, 11.2, 11.3)]
+        [[], ['t'], []]
         """
         over, self._ended = self._ended, []
         for name, known in list(self._known.items()):
--- a/landingspool/decisions/gateway/coldness.py
+++ b/landingspool/decisions/gateway/cold_targets.py
@@ -64,7 +64,7 @@
     return shares_module.Quota(boxes, requests, WINDOW_S)
 
 
-class Coldness:
+class ColdTargets:
     """The cold targets.
 
     Parameters
@@ -81,7 +81,7 @@
         self._slack = slack
         self._until = {}
 
-    def record_told(self, name, cold_s, now):
+    def record_reported(self, name, cold_s, now):
         """Record for how much longer a target reports that it is cold."""
         if cold_s > 0:
             self._extend(name, now + cold_s)
@@ -100,10 +100,10 @@
     def find_left(self, name, now):
         """Return the seconds for which a target still counts as cold.
 
-        >>> coldness = Coldness(shares_module.Shares(), 1.5, 5.0)
-        >>> coldness.record_told('t', 2.0, 10.0)
-        >>> coldness.find_left('t', 11.5), coldness.find_left('t', 12.0)
-        (0.5, 0.0)
+        >>> cold_targets = ColdTargets(shares_module.Shares(), 1.5, 5.0)
+        >>> cold_targets.record_reported('t', 2.0, 10.0)
+        >>> [cold_targets.find_left('t', at) for at in (11.5, 12.0)]
+        [0.5, 0.0]
         """
         until = self._until.get(name)
         return 0.0 if until is None else max(until - now, 0.0)
--- a/landingspool/decisions/gateway/endings.py
+++ b/landingspool/decisions/gateway/crashes.py
@@ -18,8 +18,8 @@
 import math
 
 from landingspool.decisions.gateway import bounded
-from landingspool.decisions.gateway import neighbours
-from landingspool.decisions.gateway import rumors
+from landingspool.decisions.gateway import gossip
+from landingspool.decisions.gateway import peer_digests
 
 # Targets that may crash under a request before it is quarantined.  The
 # requirements name the third, and an innocent request is seldom at three
@@ -49,14 +49,14 @@
 REPEAT_EVERY = 5
 
 
-class Bar(enum.StrEnum):
+class Quarantine(enum.StrEnum):
     """Why a request may not be sent."""
 
-    ENDED = 'ended_targets'
-    UNDER_WAY = 'suspect_under_way'
+    CRASHED = 'ended_targets'
+    SUSPECT_RUNNING = 'suspect_under_way'
 
 
-class Endings:
+class Crashes:
     """The crashes that a box has seen or received notice of.
 
     Attributes
@@ -77,7 +77,7 @@
         self._revoked = collections.OrderedDict()
         self._under_way = collections.Counter()
         self._pending = []
-        self._gossip = rumors.Rumors()
+        self._gossip = gossip.Gossip()
         self._digests = 0
 
     def record_sent(self, fingerprint):
@@ -98,18 +98,18 @@
         name : str
             Of the target's incarnation.
 
-        >>> endings = Endings()
+        >>> crashes = Crashes()
         >>> for name in ('a', 'b', 'b'):
-        ...     endings.record_lost(b'f', name, 1.0)
-        >>> endings.find_bar(b'f', 2.0) is None
+        ...     crashes.record_lost(b'f', name, 1.0)
+        >>> crashes.get_quarantine(b'f', 2.0) is None
         True
-        >>> endings.record_lost(b'f', 'c', 2.0)
-        >>> endings.find_bar(b'f', 2.0), endings.fresh
-        (<Bar.ENDED: 'ended_targets'>, [b'f'])
+        >>> crashes.record_lost(b'f', 'c', 2.0)
+        >>> crashes.get_quarantine(b'f', 2.0), crashes.fresh
+        (<Quarantine.CRASHED: 'ended_targets'>, [b'f'])
         """
-        self._add(fingerprint, neighbours.code_target(name), now, now)
+        self._add(fingerprint, peer_digests.hash_target(name), now, now)
 
-    def record_silent(self, fingerprint, name, now):
+    def record_unanswered(self, fingerprint, name, now):
         """Record that no answer came, for whatever reason.
 
         It counts as a crash if the target's crash is confirmed soon after.
@@ -117,19 +117,19 @@
         self._pending = [
             row for row in self._pending if now - row[2] < PENDING_S
         ]
-        code = neighbours.code_target(name)
+        code = peer_digests.hash_target(name)
         self._pending.append((fingerprint, code, now))
 
     def record_over(self, name, now):
         """Record a crash that the target's entry has confirmed.
 
-        >>> endings = Endings()
-        >>> endings.record_silent(b'f', 'a', 1.0)
-        >>> endings.record_over('a', 3.0)
-        >>> endings.count(b'f', 3.0)
+        >>> crashes = Crashes()
+        >>> crashes.record_unanswered(b'f', 'a', 1.0)
+        >>> crashes.record_over('a', 3.0)
+        >>> crashes.count(b'f', 3.0)
         1
         """
-        code = neighbours.code_target(name)
+        code = peer_digests.hash_target(name)
         for fingerprint, life, at in self._pending:
             if life == code and now - at < PENDING_S:
                 self._add(fingerprint, life, at, now)
@@ -140,13 +140,13 @@
 
         Connections that broke shortly before then did not break by a crash.
 
-        >>> endings = Endings()
-        >>> endings.record_lost(b'f', 'a', 1.0)
-        >>> endings.record_alive('a', 1.5)
-        >>> endings.count(b'f', 2.0)
+        >>> crashes = Crashes()
+        >>> crashes.record_lost(b'f', 'a', 1.0)
+        >>> crashes.record_alive('a', 1.5)
+        >>> crashes.count(b'f', 2.0)
         0
         """
-        life = neighbours.code_target(name)
+        life = peer_digests.hash_target(name)
         self._alive[life] = max(sent, self._alive.get(life, sent))
         self._alive.move_to_end(life)
         bounded.trim(self._alive, MAX_FINGERPRINTS)
@@ -162,30 +162,32 @@
         """Record that this box answered a request completely."""
         if fingerprint in self._crashes:
             self._clear(fingerprint, now)
-            self._gossip.put(fingerprint, neighbours.NO_LIFE, now)
+            self._gossip.put(fingerprint, peer_digests.NO_INCARNATION, now)
 
     def take(self, notice, now):
         """Apply a notice from a peer, and pass it on if it is new.
 
-        >>> endings = Endings()
+        >>> crashes = Crashes()
         >>> for life in (7, 8, 9):
-        ...     endings.take(neighbours.CrashNotice(b'f', life, 100), 5.0)
-        >>> endings.find_bar(b'f', 5.0) is Bar.ENDED
+        ...     crashes.take(peer_digests.CrashNotice(b'f', life, 100), 5.0)
+        >>> crashes.get_quarantine(b'f', 5.0) is Quarantine.CRASHED
         True
-        >>> served = neighbours.CrashNotice(b'f', neighbours.NO_LIFE, 0)
-        >>> endings.take(served, 5.0)
-        >>> endings.find_bar(b'f', 5.0), endings.lifted
+        >>> none = peer_digests.NO_INCARNATION
+        >>> crashes.take(peer_digests.CrashNotice(b'f', none, 0), 5.0)
+        >>> crashes.get_quarantine(b'f', 5.0), crashes.lifted
         (None, [b'f'])
         """
         at = now - notice.age_ms / 1000
-        if notice.life == neighbours.NO_LIFE:
+        if notice.life == peer_digests.NO_INCARNATION:
             if (
                 at
                 > self._served.get(notice.fingerprint, -math.inf)
                 + SAME_ANSWER_S
             ):
                 self._clear(notice.fingerprint, at)
-                self._gossip.put(notice.fingerprint, neighbours.NO_LIFE, at)
+                self._gossip.put(
+                    notice.fingerprint, peer_digests.NO_INCARNATION, at
+                )
             return
         self._add(notice.fingerprint, notice.life, at, now)
 
@@ -196,7 +198,7 @@
             return 0
         return sum(1 for at in crashes.values() if now - at < REMEMBERED_S)
 
-    def find_bar(self, fingerprint, now):
+    def get_quarantine(self, fingerprint, now):
         """Return why a request may not be sent now, or None if it may.
 
         From the second crash on, this box runs only one such request at a
@@ -204,19 +206,19 @@
         some of 24 callers who sent the same request got a 503 because one
         connection had broken.
 
-        >>> endings = Endings()
-        >>> endings.record_sent(b'f')
-        >>> endings.record_lost(b'f', 'a', 1.0)
-        >>> endings.find_bar(b'f', 1.0)
-        >>> endings.record_lost(b'f', 'b', 1.0)
-        >>> endings.find_bar(b'f', 1.0)
-        <Bar.UNDER_WAY: 'suspect_under_way'>
+        >>> crashes = Crashes()
+        >>> crashes.record_sent(b'f')
+        >>> crashes.record_lost(b'f', 'a', 1.0)
+        >>> crashes.get_quarantine(b'f', 1.0)
+        >>> crashes.record_lost(b'f', 'b', 1.0)
+        >>> crashes.get_quarantine(b'f', 1.0)
+        <Quarantine.SUSPECT_RUNNING: 'suspect_under_way'>
         """
         crashes = self.count(fingerprint, now)
         if crashes >= MAX_CRASHES:
-            return Bar.ENDED
+            return Quarantine.CRASHED
         if crashes == MAX_CRASHES - 1 and self._under_way[fingerprint]:
-            return Bar.UNDER_WAY
+            return Quarantine.SUSPECT_RUNNING
         return None
 
     def find_left(self, fingerprint, now):
@@ -230,7 +232,7 @@
         """List what is known about a request, as notices."""
         crashes = self._crashes.get(fingerprint, {})
         return [
-            rumors.make_notice(fingerprint, life, at, now)
+            gossip.make_notice(fingerprint, life, at, now)
             for life, at in crashes.items()
         ]
 
@@ -247,7 +249,7 @@
             for notice in self.list_notices(fingerprint, now)
         ]
 
-    def list_barred(self, now):
+    def list_quarantined(self, now):
         """List the fingerprints of quarantined requests."""
         return [f for f in self._crashes if self.count(f, now) >= MAX_CRASHES]
 
@@ -263,7 +265,7 @@
         return tuple(notices)
 
     def _repeat_notices(self, now):
-        quarantined = self.list_barred(now)
+        quarantined = self.list_quarantined(now)
         if not quarantined:
             return []
         position = self._digests // REPEAT_EVERY % len(quarantined)
--- a/landingspool/decisions/gateway/bars.py
+++ b/landingspool/decisions/gateway/exclusions.py
@@ -9,12 +9,12 @@
 
 import typing
 
-from landingspool.decisions.gateway import coldness as coldness_module
+from landingspool.decisions.gateway import backoffs as backoffs_module
+from landingspool.decisions.gateway import cold_targets as cold_targets_module
 from landingspool.decisions.gateway import evacuation
 from landingspool.decisions.gateway import homes
 from landingspool.decisions.gateway import leaving as leaving_module
 from landingspool.decisions.gateway import limits as limits_module
-from landingspool.decisions.gateway import rests as rests_module
 from landingspool.decisions.gateway import shares as shares_module
 
 
@@ -23,12 +23,12 @@
 # Exclusion of a target that has announced that it is leaving.
 LEAVING = 'leaving'
 # Exclusion of a target that has asked this box to back off.
-RESTING = 'resting'
+BACKING_OFF = 'resting'
 # Exclusions whose end is known: callers are told when to retry.
-TEMPORARY = (LIMITED, RESTING)
+TEMPORARY = (LIMITED, BACKING_OFF)
 
 
-class Limits(typing.NamedTuple):
+class Requirements(typing.NamedTuple):
     """What a request requires of a target, the same for all targets.
 
     `regions` is None if any region is allowed.  `cold` is the request rate
@@ -36,10 +36,10 @@
     """
 
     regions: frozenset | None
-    cold: coldness_module.Bound
+    cold: cold_targets_module.Bound
 
 
-class Bars:
+class Exclusions:
     """The exclusions in force, as known to one box.
 
     Parameters
@@ -55,21 +55,21 @@
         self.regions = regions
         self.evacuation = evacuation.Evacuation()
         self.shares = shares_module.Shares()
-        self.coldness = coldness_module.Coldness(
+        self.cold_targets = cold_targets_module.ColdTargets(
             self.shares, bounds.cold_over, bounds.cold_slack
         )
         self.limits = limits_module.Limits(self.shares)
         self.leaving = leaving_module.Leaving()
-        self.rests = rests_module.Rests(rng)
+        self.backoffs = backoffs_module.Backoffs(rng)
 
-    def find_limits(self, work, table):
-        """Return the Limits of a request."""
-        return Limits(
+    def get_requirements(self, work, table):
+        """Return the Requirements of a request."""
+        return Requirements(
             homes.find_regions(work.route, work.tenancy),
             get_cold_bound(table, work.service),
         )
 
-    def find_bar(self, entry, limits, now):
+    def get_exclusion(self, entry, limits, now):
         """Return why a target must not get a request, or None if it may."""
         exclusion = self._get_lasting(entry, limits)
         if exclusion is not None:
@@ -77,9 +77,9 @@
         # The back-off is honored for its whole length.  With only the
         # half-second pause after a failure, a target that asked for 3 s got 9
         # requests in that time.
-        if not self.rests.may_send(entry.name, now):
-            return RESTING
-        if not self.coldness.may_send(entry.name, limits.cold, now):
+        if not self.backoffs.may_send(entry.name, now):
+            return BACKING_OFF
+        if not self.cold_targets.may_send(entry.name, limits.cold, now):
             return 'cold'
         # The limit holds for all boxes together.  When each box counted only
         # its own requests, targets received seven times their limit.
@@ -102,7 +102,7 @@
 
     def may_call(self, entry, now):
         """Return whether calls other than requests may be sent to a target."""
-        resting = self.rests.is_backing_off(entry.name, now)
+        resting = self.backoffs.is_backing_off(entry.name, now)
         return not resting and not self.is_closed(entry)
 
     def is_closed(self, entry):
@@ -115,7 +115,7 @@
         return [
             entry
             for entry in self.list_temporary(entries, limits, now)
-            if self.rests.may_send(entry.name, now)
+            if self.backoffs.may_send(entry.name, now)
         ]
 
     def list_temporary(self, entries, limits, now):
@@ -126,7 +126,7 @@
             if self._get_lasting(entry, limits) is None
             and (
                 self.limits.find(entry.name) is not None
-                or not self.rests.may_send(entry.name, now)
+                or not self.backoffs.may_send(entry.name, now)
             )
         ]
 
@@ -135,7 +135,7 @@
 
         None if the box has no permit of the target's limit.
         """
-        backoff_s = self.rests.compute_wait(name, now)
+        backoff_s = self.backoffs.compute_wait(name, now)
         if self.limits.find(name) is None:
             return backoff_s
         limit_s = self.limits.compute_wait(name, now)
@@ -144,15 +144,19 @@
     def record_sent(self, name, now):
         """Record that a request is sent to a target."""
         self.shares.record_sent(name, now)
-        self.rests.record_sent(name, now)
+        self.backoffs.record_sent(name, now)
 
     def list_open(self, entries, limits, now):
         """List the entries that are not excluded."""
-        return [e for e in entries if self.find_bar(e, limits, now) is None]
+        return [
+            e for e in entries if self.get_exclusion(e, limits, now) is None
+        ]
 
     def find_lack(self, entries, limits, now):
         """Return why no target other than those tried may get a request."""
-        exclusions = {self.find_bar(entry, limits, now) for entry in entries}
+        exclusions = {
+            self.get_exclusion(entry, limits, now) for entry in entries
+        }
         exclusions.discard(None)
         for exclusion in TEMPORARY:
             if exclusion in exclusions:
@@ -194,16 +198,16 @@
         repeat them.
         """
         self.shares.forget(name)
-        self.coldness.forget(name)
+        self.cold_targets.forget(name)
         self.limits.forget(name)
 
     def record_back(self, entry, table, now):
         """Record that a target's path or domain is reachable again."""
         bound = get_cold_bound(table, entry.service)
-        self.coldness.record_back(entry.name, bound, now)
+        self.cold_targets.record_back(entry.name, bound, now)
 
 
 def get_cold_bound(table, service):
     """Return what the targets of a service can take while they are cold."""
     known = table.services.get(service) if table is not None else None
-    return known.cold if known else coldness_module.Bound()
+    return known.cold if known else cold_targets_module.Bound()
--- a/landingspool/decisions/gateway/rumors.py
+++ b/landingspool/decisions/gateway/gossip.py
@@ -5,7 +5,7 @@
 on, so that it reaches all boxes although each digest reaches only some.
 """
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 
 # Notices in one digest: 23 bytes each, so that it fits into one packet.
 MAX_NOTICES = 40
@@ -14,7 +14,7 @@
 REPEATS = 3
 
 
-class Rumors:
+class Gossip:
     """The notices that a box has yet to send, by request and target."""
 
     def __init__(self):
@@ -38,13 +38,13 @@
 
         Returns
         -------
-        list of neighbours.CrashNotice
+        list of peer_digests.CrashNotice
 
-        >>> rumors = Rumors()
-        >>> rumors.put(b'f', 7, 1.0)
-        >>> rumors.tell(1.5, lambda fingerprint: 1)
+        >>> gossip = Gossip()
+        >>> gossip.put(b'f', 7, 1.0)
+        >>> gossip.tell(1.5, lambda fingerprint: 1)
         [CrashNotice(fingerprint=b'f', life=7, age_ms=500)]
-        >>> [len(rumors.tell(1.5, lambda fingerprint: 1)) for _ in 'abc']
+        >>> [len(gossip.tell(1.5, lambda fingerprint: 1)) for _ in 'abc']
         [1, 1, 0]
         """
         order = sorted(
@@ -63,4 +63,4 @@
 def make_notice(fingerprint, life, at, now):
     """Return the notice of what happened at `at`."""
     age_ms = max(int((now - at) * 1000), 0)
-    return neighbours.CrashNotice(fingerprint, life, age_ms)
+    return peer_digests.CrashNotice(fingerprint, life, age_ms)
--- a/landingspool/decisions/gateway/leaving.py
+++ b/landingspool/decisions/gateway/leaving.py
@@ -14,7 +14,7 @@
 import typing
 
 from landingspool.decisions.gateway import bounded
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 
 # Incarnations that are remembered: more than leave during the uptime of a box,
 # except for the longest uptimes.
@@ -34,7 +34,7 @@
     Attributes
     ----------
     life : int
-        Hash of the incarnation's name (neighbours.code_target).
+        Hash of the incarnation's name (peer_digests.hash_target).
     heard : float
         When the answer with the announcement was received.
     box : str
@@ -63,7 +63,7 @@
         self._known = collections.OrderedDict()
         self._digests = 0
 
-    def record_told(self, name, now):
+    def record_reported(self, name, now):
         """Record that an answer of a target announced that it is leaving.
 
         Parameters
@@ -72,18 +72,18 @@
             Of the target's incarnation.
 
         >>> leaving = Leaving()
-        >>> leaving.record_told('t', 1.0)
+        >>> leaving.record_reported('t', 1.0)
         >>> leaving.holds('t'), leaving.holds('u')
         (True, False)
         """
-        self._put(Known(neighbours.code_target(name), now))
+        self._put(Known(peer_digests.hash_target(name), now))
 
     def take(self, notice, box, now):
         """Apply a notice from a peer.
 
         Parameters
         ----------
-        notice : neighbours.LeavingNotice
+        notice : peer_digests.LeavingNotice
         """
         self._put(Known(notice.life, now - notice.age_ms / 1000, box))
 
@@ -92,7 +92,7 @@
 
         It may only seem to have ended: its entry may have lapsed.
         """
-        life = neighbours.code_target(name)
+        life = peer_digests.hash_target(name)
         known = self._known.get(life)
         if known is not None and not known.is_over:
             self._known[life] = known._replace(is_over=True)
@@ -100,17 +100,17 @@
 
     def holds(self, name):
         """Return whether a target has announced that it is leaving."""
-        return neighbours.code_target(name) in self._known
+        return peer_digests.hash_target(name) in self._known
 
     def find(self, name):
         """Return the Known announcement of an incarnation, or None."""
-        return self._known.get(neighbours.code_target(name))
+        return self._known.get(peer_digests.hash_target(name))
 
     def tell(self, now):
         """Return the notices for the next digest.
 
         >>> leaving = Leaving()
-        >>> leaving.record_told('t', 1.0)
+        >>> leaving.record_reported('t', 1.0)
         >>> [len(leaving.tell(at)) for at in (1.1, 2.1, 2.3, 2.5, 2.7, 70.0)]
         [1, 0, 0, 0, 1, 0]
         """
@@ -140,6 +140,6 @@
 
 
 def make_notice(known, now):
-    """Return the neighbours.LeavingNotice of a Known."""
+    """Return the peer_digests.LeavingNotice of a Known."""
     age_ms = max(int((now - known.heard) * 1000), 0)
-    return neighbours.LeavingNotice(known.life, age_ms)
+    return peer_digests.LeavingNotice(known.life, age_ms)
--- a/landingspool/decisions/gateway/limits.py
+++ b/landingspool/decisions/gateway/limits.py
@@ -23,7 +23,7 @@
 import typing
 
 from landingspool.decisions.gateway import bounded
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import shares as shares_module
 
 # Length in seconds of the window in which the users count arrivals: one and a
@@ -86,7 +86,7 @@
 class Change(typing.NamedTuple):
     """A changed limit, for the log.
 
-    `life` is the hash of the incarnation's name (neighbours.code_target).
+    `life` is the hash of the incarnation's name (peer_digests.hash_target).
     """
 
     life: int
@@ -129,7 +129,7 @@
         (1.8, None)
         """
         notice = Known(per_s, asked, heard, heard)
-        self._put(neighbours.code_target(name), notice)
+        self._put(peer_digests.hash_target(name), notice)
 
     def record_unnamed(self, name, asked, heard):
         """Record an answer that advertised no limit.
@@ -145,7 +145,7 @@
         >>> limits.record_unnamed('t', 1.15, 1.3)
         >>> limits.find('t')
         """
-        life = neighbours.code_target(name)
+        life = peer_digests.hash_target(name)
         if life in self._known:
             self._put(life, Known(NO_LIMIT, asked, heard, heard))
 
@@ -154,7 +154,7 @@
 
         Parameters
         ----------
-        notice : neighbours.LimitNotice
+        notice : peer_digests.LimitNotice
         """
         if not is_valid_rate(notice.per_s):
             return
@@ -194,7 +194,7 @@
 
     def find(self, name):
         """Return the Known limit of a target, or None if it has none."""
-        known = self._known.get(neighbours.code_target(name))
+        known = self._known.get(peer_digests.hash_target(name))
         return known if known is not None and known.per_s else None
 
     def list_named(self, names):
@@ -223,7 +223,7 @@
         permits = self._shares.count_permits(name, quota, now)
         return permits * quota.requests / quota.window_s
 
-    def find_used(self, name, now):
+    def compute_used_rate(self, name, now):
         """Return the requests a second that this box sent lately."""
         return len(self._shares.list_sent(name, WINDOW_S, now)) / WINDOW_S
 
@@ -239,7 +239,7 @@
 
     def forget(self, name):
         """Forget an incarnation that has ended."""
-        self._known.pop(neighbours.code_target(name), None)
+        self._known.pop(peer_digests.hash_target(name), None)
 
     def _put(self, life, notice, transit_s=0.0):
         known = self._known.get(life)
@@ -315,11 +315,11 @@
 
 
 def make_notice(life, known, now):
-    """Return the neighbours.LimitNotice of an incarnation."""
+    """Return the peer_digests.LimitNotice of an incarnation."""
     asked_ms, heard_ms = (
         max(int((now - at) * 1000), 0) for at in (known.asked, known.heard)
     )
-    return neighbours.LimitNotice(life, known.per_s, asked_ms, heard_ms)
+    return peer_digests.LimitNotice(life, known.per_s, asked_ms, heard_ms)
 
 
 def get_open_quota(known, now):
--- a/landingspool/decisions/gateway/scarcity.py
+++ b/landingspool/decisions/gateway/pacing.py
@@ -36,7 +36,7 @@
         return self.per_s * math.exp(-max(now - self.at, 0.0) / RATE_S)
 
 
-class Scarcity:
+class Pacer:
     """The capacity that one box divides, by service and by priority."""
 
     def __init__(self):
@@ -59,12 +59,12 @@
     def compute_left(self, service, priority, free_per_s, now):
         """Return the requests a second that more urgent priorities leave.
 
-        >>> scarcity = Scarcity()
+        >>> pacer = Pacer()
         >>> for _ in range(8):
-        ...     scarcity.record('s', 0, 1.0)
-        >>> scarcity.compute_left('s', 0, 3.0, 1.0)
+        ...     pacer.record('s', 0, 1.0)
+        >>> pacer.compute_left('s', 0, 3.0, 1.0)
         3.0
-        >>> scarcity.compute_left('s', 2, 3.0, 1.0)
+        >>> pacer.compute_left('s', 2, 3.0, 1.0)
         1.0
         """
         rates = self._rates.get(service, {})
@@ -85,12 +85,12 @@
         free_per_s : float
             Requests a second that this box may send to targets of the service.
 
-        >>> scarcity = Scarcity()
+        >>> pacer = Pacer()
         >>> for _ in range(8):
-        ...     scarcity.record('s', 0, 1.0)
-        >>> scarcity.take('s', 0, 2.0, 1.0), scarcity.take('s', 2, 2.0, 1.0)
+        ...     pacer.record('s', 0, 1.0)
+        >>> pacer.take('s', 0, 2.0, 1.0), pacer.take('s', 2, 2.0, 1.0)
         (True, False)
-        >>> [scarcity.take('s', 2, 4.0, at) for at in (1.0, 1.1, 1.2)]
+        >>> [pacer.take('s', 2, 4.0, at) for at in (1.0, 1.1, 1.2)]
         [True, True, False]
         """
         left = self.compute_left(service, priority, free_per_s, now)
@@ -121,8 +121,8 @@
         left_s : float
             Seconds for which the caller waits.
 
-        >>> scarcity = Scarcity()
-        >>> retry_after = scarcity.compute_retry_after
+        >>> pacer = Pacer()
+        >>> retry_after = pacer.compute_retry_after
         >>> [retry_after('s', 0, 2.0, 1.0, 1.6, 10.0) for _ in range(4)]
         [1.0, 1.5, 2.0, 2.0]
         >>> retry_after('s', 0, 2.0, 0.25, 1.0, 20.0)
--- a/landingspool/decisions/gateway/neighbours.py
+++ b/landingspool/decisions/gateway/peer_digests.py
@@ -23,7 +23,7 @@
 # the load from near boxes resembles that from any others.
 FAN_OUT_NEAR = 18
 # Stands for the target in the notice that a request was answered completely.
-NO_LIFE = 0
+NO_INCARNATION = 0
 # Load of a target that is in no digest.
 NO_LOAD = 0, 0, 0, 0
 
@@ -36,8 +36,8 @@
     fingerprint : bytes
         Of the request.
     life : int
-        Hash of the crashed incarnation's name (code_target); NO_LIFE: the
-        request was answered completely.
+        Hash of the crashed incarnation's name (hash_target); NO_INCARNATION:
+        the request was answered completely.
     age_ms : int
         Milliseconds since then.
     """
@@ -53,7 +53,7 @@
     Attributes
     ----------
     life : int
-        Hash of the incarnation's name (code_target).
+        Hash of the incarnation's name (hash_target).
     per_s : float
         Requests a second from all boxes; 0: it advertises no limit any more.
     asked_ms, heard_ms : int
@@ -73,7 +73,7 @@
     Attributes
     ----------
     life : int
-        Hash of the incarnation's name (code_target).
+        Hash of the incarnation's name (hash_target).
     age_ms : int
         Milliseconds since the announcement.
     """
@@ -147,7 +147,7 @@
 
 
 @functools.lru_cache(maxsize=4096)
-def code_target(name):
+def hash_target(name):
     """Return the hash by which digests identify a target's incarnation.
 
     A name takes 14 bytes, or 28 with the incarnation's start, and a digest has
@@ -156,13 +156,13 @@
     two targets had the same hash, which happens once in millions of
     deployments, each would be assigned the load of both.
 
-    >>> 0 <= code_target('t') < 2 ** 32
+    >>> 0 <= hash_target('t') < 2 ** 32
     True
     """
     return xxhash.xxh32_intdigest(name.encode())
 
 
-def code_loads(loads):
+def hash_loads(loads):
     """Return the load of a box at each target as digests encode it.
 
     Parameters
@@ -170,10 +170,10 @@
     loads : dict of str to list
         By the name of the target's incarnation.
     """
-    return {code_target(name): load for name, load in loads.items()}
+    return {hash_target(name): load for name, load in loads.items()}
 
 
-def pick_told(near, far, rng):
+def pick_recipients(near, far, rng):
     """Pick the boxes that a digest is sent to.
 
     Parameters
@@ -184,9 +184,9 @@
 
     >>> import random
     >>> rng = random.Random(1)
-    >>> sorted(pick_told('ab', 'cd', rng))
+    >>> sorted(pick_recipients('ab', 'cd', rng))
     ['a', 'b', 'c', 'd']
-    >>> told = pick_told(['n'] * 30, ['f'] * 60, rng)
+    >>> told = pick_recipients(['n'] * 30, ['f'] * 60, rng)
     >>> told.count('n'), told.count('f')
     (18, 6)
     """
@@ -197,7 +197,7 @@
     return some_near + rng.sample(far, min(len(far), left))
 
 
-class Neighbours:
+class PeerDigests:
     """The newest digests of the other boxes."""
 
     def __init__(self):
@@ -220,17 +220,17 @@
     def exclude_stall(self, seconds):
         """Exclude a stall of this box from the age of digests.
 
-        >>> neighbours = Neighbours()
-        >>> neighbours.take(Digest('b', 'd', 1, {}), 1.0)
-        >>> neighbours.exclude_stall(6.0)
-        >>> neighbours.list_heard(7.5)
+        >>> digests = PeerDigests()
+        >>> digests.take(Digest('b', 'd', 1, {}), 1.0)
+        >>> digests.exclude_stall(6.0)
+        >>> digests.list_fresh_peers(7.5)
         ['b']
         """
         for box, row in self._received.items():
             self._received[box] = row._replace(at=row.at + seconds)
         self._summed = None
 
-    def list_heard(self, now):
+    def list_fresh_peers(self, now):
         """List the names of the boxes whose digest is fresh at `now`."""
         return [
             box for box, row in self._received.items() if row.is_fresh(now)
@@ -252,14 +252,14 @@
             As in the digests: tokens waiting, requests running, tokens held,
             requests waiting.
 
-        >>> neighbours = Neighbours()
-        >>> loads = code_loads({'t': [1, 2, 9, 3]})
-        >>> neighbours.take(Digest('b', 'd', 1, loads), 1.0)
-        >>> neighbours.get_load('t', {'d': 1}, 1.5)
+        >>> digests = PeerDigests()
+        >>> loads = hash_loads({'t': [1, 2, 9, 3]})
+        >>> digests.take(Digest('b', 'd', 1, loads), 1.0)
+        >>> digests.get_load('t', {'d': 1}, 1.5)
         (1.0, 2.0, 9.0, 3.0)
-        >>> neighbours.get_load('t', {'d': 2, 'away': 9}, 1.5)
+        >>> digests.get_load('t', {'d': 2, 'away': 9}, 1.5)
         (2.0, 4.0, 18.0, 6.0)
-        >>> neighbours.get_load('t', {'d': 1}, 3.0)
+        >>> digests.get_load('t', {'d': 1}, 3.0)
         (0.0, 0.0, 0.0, 0.0)
         """
         self._sum(now)
@@ -267,7 +267,7 @@
             return tuple(map(float, NO_LOAD))
         boxes = sum(counts.get(domain, 0) for domain in self._sums_domains)
         scale = max(boxes / self._sums_boxes, 1.0)
-        sums = self._sums.get(code_target(target), NO_LOAD)
+        sums = self._sums.get(hash_target(target), NO_LOAD)
         return tuple(n * scale for n in sums)
 
     def _sum(self, now):
--- a/landingspool/decisions/gateway/reach.py
+++ b/landingspool/decisions/gateway/reachability.py
@@ -16,9 +16,9 @@
 MAX_RETRY_S = 2.0
 # Seconds for which reports from peers are ignored after this box has reached
 # the target itself: each probe is a new connection, which has a cost.
-SURE_S = 10.0
+CONFIRMED_S = 10.0
 # The same for a box that watches the target for its peers.
-WATCHER_SURE_S = 1.0
+WATCHER_CONFIRMED_S = 1.0
 # Seconds to the next probe if peers watch a target: they report when it is
 # back, and this covers the case that none does.  With 13 unreachable targets,
 # 195 boxes that all kept probing made 18,300 probes in 15 s; with this pause
@@ -45,7 +45,7 @@
     due: float
 
 
-class Reach:
+class Reachability:
     """The unreachable targets, as seen by one box."""
 
     def __init__(self):
@@ -60,9 +60,9 @@
         watched : bool
             Whether other boxes watch it.
 
-        >>> reach = Reach()
-        >>> reach.record_failed('a', 10.0)
-        >>> reach.is_out('a'), reach.list_due(10.1), reach.list_due(10.4)
+        >>> known = Reachability()
+        >>> known.record_failed('a', 10.0)
+        >>> known.is_out('a'), known.list_due(10.1), known.list_due(10.4)
         (True, [], ['a'])
         """
         known = self._outages.get(name)
@@ -77,7 +77,7 @@
         self._outages.pop(name, None)
         self._reached[name] = now
 
-    def suspect(self, name, now, sure_s=SURE_S):
+    def suspect(self, name, now, sure_s=CONFIRMED_S):
         """Record a peer's report that it can't connect to a target.
 
         Parameters
@@ -85,13 +85,13 @@
         sure_s : float
             Seconds for which this box's own connection overrides the report.
 
-        >>> reach = Reach()
-        >>> reach.record_reached('a', 9.0)
-        >>> reach.suspect('a', 10.0)
-        >>> reach.is_out('a')
+        >>> known = Reachability()
+        >>> known.record_reached('a', 9.0)
+        >>> known.suspect('a', 10.0)
+        >>> known.is_out('a')
         False
-        >>> reach.suspect('a', 19.0)
-        >>> reach.is_out('a'), reach.list_due(19.0), reach.list_failed()
+        >>> known.suspect('a', 19.0)
+        >>> known.is_out('a'), known.list_due(19.0), known.list_failed()
         (True, ['a'], [])
         """
         if name in self._outages:
@@ -99,15 +99,15 @@
         if now - self._reached.get(name, -sure_s) >= sure_s:
             self._outages[name] = Outage(0, now)
 
-    def hasten(self, name, now):
+    def expedite(self, name, now):
         """Expedite the next probe: a peer reports that the target is back.
 
-        >>> reach = Reach()
-        >>> reach.record_failed('a', 10.0, watched=True)
-        >>> reach.list_due(11.0)
+        >>> known = Reachability()
+        >>> known.record_failed('a', 10.0, watched=True)
+        >>> known.list_due(11.0)
         []
-        >>> reach.hasten('a', 11.0)
-        >>> reach.list_due(11.0)
+        >>> known.expedite('a', 11.0)
+        >>> known.list_due(11.0)
         ['a']
         """
         out = self._outages.get(name)
@@ -129,12 +129,12 @@
     def list_told(self):
         """List the targets that are reported to peers.
 
-        >>> reach = Reach()
-        >>> reach.record_failed('a', 10.0)
-        >>> reach.list_told()
+        >>> known = Reachability()
+        >>> known.record_failed('a', 10.0)
+        >>> known.list_told()
         ()
-        >>> reach.record_failed('a', 10.5)
-        >>> reach.list_told()
+        >>> known.record_failed('a', 10.5)
+        >>> known.list_told()
         ('a',)
         """
         rows = self._outages.items()
--- a/landingspool/decisions/gateway/readers.py
+++ b/landingspool/decisions/gateway/readers.py
@@ -19,7 +19,7 @@
 # Boxes of a large domain that read: if one fails the other continues.
 READERS = 2
 # Domain size up to which each box reads for itself.
-MOST_ALONE = 4
+MAX_DIRECT_READERS = 4
 # Seconds for which a failed reader is avoided.
 AVOID_S = 4.0
 # Seconds by which a reader's own proof may be older than two holds: a reader
@@ -134,7 +134,7 @@
         >>> readers.pick({'b': 5.0}, 0.0, 1.0) is None
         True
         """
-        if len(links) + 1 <= MOST_ALONE:
+        if len(links) + 1 <= MAX_DIRECT_READERS:
             return None
         # If the first readers fail the next two read for all: if every box
         # did, each of them would add load to a failing store.
--- a/landingspool/decisions/gateway/routes.py
+++ b/landingspool/decisions/gateway/routes.py
@@ -6,7 +6,7 @@
 
 import typing
 
-from landingspool.decisions.gateway import coldness
+from landingspool.decisions.gateway import cold_targets
 
 SAFE = 'safe'
 UNSAFE = 'unsafe'
@@ -108,7 +108,7 @@
     max_connections: int = 64
     engine: Engine | None = None
     keeper: Keeper | None = None
-    cold: coldness.Bound = coldness.Bound()
+    cold: cold_targets.Bound = cold_targets.Bound()
 
 
 class Tenancy(typing.NamedTuple):
--- a/landingspool/decisions/gateway/view.py
+++ b/landingspool/decisions/gateway/view.py
@@ -8,23 +8,23 @@
 
 from landingspool.decisions.gateway import admission
 from landingspool.decisions.gateway import allowance
-from landingspool.decisions.gateway import bars
+from landingspool.decisions.gateway import exclusions
 from landingspool.decisions.gateway import choice
-from landingspool.decisions.gateway import endings as endings_module
+from landingspool.decisions.gateway import crashes as crashes_module
 from landingspool.decisions.gateway import fleet as fleet_module
 from landingspool.decisions.gateway import freshness
 from landingspool.decisions.gateway import health as health_module
 from landingspool.decisions.gateway import lateness
 from landingspool.decisions.gateway import loads as loads_module
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import partition as partition_module
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import prompts
-from landingspool.decisions.gateway import reach as reach_module
-from landingspool.decisions.gateway import room as room_module
+from landingspool.decisions.gateway import reachability as reachability_module
+from landingspool.decisions.gateway import capacity as capacity_module
 from landingspool.decisions.gateway import transfers
 from landingspool.decisions.gateway import warmth as warmth_module
-from landingspool.decisions.gateway import watching as watching_module
+from landingspool.decisions.gateway import watchers as watchers_module
 from landingspool.decisions.gateway import weights as weights_module
 
 # Boxes that the retry budget is divided by at least: today's deployments
@@ -65,15 +65,15 @@
         self.loads = loads_module.Loads()
         self.lateness = lateness.Lateness()
         self.weights = weights_module.Weights(bounds.version_s)
-        self.reach = reach_module.Reach()
-        self.watching = watching_module.Watching()
+        self.reach = reachability_module.Reachability()
+        self.watching = watchers_module.Watchers()
         self.partition = partition_module.Partition()
-        self.bars = bars.Bars(bounds, regions or {}, self.rng)
-        self.room = room_module.Room(self.fleet, self.bars)
+        self.bars = exclusions.Exclusions(bounds, regions or {}, self.rng)
+        self.room = capacity_module.FreeCapacity(self.fleet, self.bars)
         self.warmth = warmth_module.Warmth()
         self.proof = freshness.Proof(bounds.key_s, bounds.keys_fail_closed)
-        self.neighbours = neighbours.Neighbours()
-        self.endings = endings_module.Endings()
+        self.neighbours = peer_digests.PeerDigests()
+        self.endings = crashes_module.Crashes()
         self.boxes = USUAL_BOXES
         # Other boxes, by domain.
         self.others = {}
@@ -97,7 +97,7 @@
             return state
         if before not in (None, entry.name):
             self.record_over(before, now)
-        self.bars.coldness.record_told(entry.name, entry.cold_s, now)
+        self.bars.cold_targets.record_reported(entry.name, entry.cold_s, now)
         return state
 
     def withdraw_evacuation(self, domain, now):
@@ -128,18 +128,18 @@
         """Tell whether a request may be sent to a target at this moment."""
         if entry.name not in self.fleet.entries:
             return False
-        limits = self.bars.find_limits(work, self.table)
-        return self.bars.find_bar(entry, limits, now) is None
+        limits = self.bars.get_requirements(work, self.table)
+        return self.bars.get_exclusion(entry, limits, now) is None
 
     def has_open(self, work, now):
         """Tell whether nothing forbids some target of a request's service."""
-        limits = self.bars.find_limits(work, self.table)
+        limits = self.bars.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
         return bool(self.bars.list_open(entries, limits, now))
 
     def find_lack(self, work, now):
-        """Give why no target may get a request, as bars.Bars.find_lack."""
-        limits = self.bars.find_limits(work, self.table)
+        """Give why no target may get a request, as bars.Exclusions.find_lack."""
+        limits = self.bars.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
         return self.bars.find_lack(entries, limits, now)
 
@@ -305,8 +305,10 @@
     def take_digest(self, digest, now):
         """Take in what another box has under way, and what it found out."""
         self.neighbours.take(digest, now)
-        for name in self.watching.hear(digest.box, digest.unreached, now):
-            self.reach.hasten(name, now)
+        for name in self.watching.receive_report(
+            digest.box, digest.unreached, now
+        ):
+            self.reach.expedite(name, now)
         for name in digest.unreached:
             if name in self.fleet.entries:
                 self._suspect(name, now)
@@ -321,7 +323,11 @@
 
     def _suspect(self, name, now):
         duty = self.watching.is_duty(name)
-        sure_s = reach_module.WATCHER_SURE_S if duty else reach_module.SURE_S
+        sure_s = (
+            reachability_module.WATCHER_CONFIRMED_S
+            if duty
+            else reachability_module.CONFIRMED_S
+        )
         self.reach.suspect(name, now, sure_s)
 
     def record_unreached(self, name, now):
@@ -373,7 +379,7 @@
 
     def _list_usable(self, work, avoid, now):
         """List the entries of the targets that a request may be sent to."""
-        limits = self.bars.find_limits(work, self.table)
+        limits = self.bars.get_requirements(work, self.table)
         known = self.fleet.list_service(work.service)
         known = [entry for entry in known if entry.name not in avoid]
         entries = self.bars.list_open(known, limits, now)
@@ -402,7 +408,7 @@
         others = self.neighbours.get_load(entry.name, self.others, now)
         load = self.loads.measure(entry.name, others)
         health = self.get_health(entry.name)
-        cold_s = self.bars.coldness.find_left(entry.name, now)
+        cold_s = self.bars.cold_targets.find_left(entry.name, now)
         limited = self.bars.limits.find(entry.name) is not None
         if work.prompt is None:
             return choice.Candidate(
--- a/landingspool/decisions/gateway/watching.py
+++ b/landingspool/decisions/gateway/watchers.py
@@ -25,7 +25,7 @@
     at: float
 
 
-class Watching:
+class Watchers:
     """The watchers of one domain, as seen by one of its boxes."""
 
     def __init__(self):
@@ -38,7 +38,7 @@
         self._box = box
         self._members = tuple(sorted((*near, box)))
 
-    def hear(self, box, unreached, now):
+    def receive_report(self, box, unreached, now):
         """Record which targets a peer can't reach.
 
         Returns
@@ -46,11 +46,13 @@
         frozenset of str
             Targets that the peer watches and reaches again.
 
-        >>> watching = Watching()
-        >>> watching.set_members('a', 'bcdef')
-        >>> first, second = watching.list_watchers('t')
-        >>> watching.hear(first, ('t',), 1.0), watching.hear(first, (), 1.2)
-        (frozenset(), frozenset({'t'}))
+        >>> watchers = Watchers()
+        >>> watchers.set_members('a', 'bcdef')
+        >>> first, second = watchers.list_watchers('t')
+        >>> watchers.receive_report(first, ('t',), 1.0)
+        frozenset()
+        >>> watchers.receive_report(first, (), 1.2)
+        frozenset({'t'})
         """
         known = self._reports.get(box)
         report = Report(frozenset(unreached), now)
@@ -67,7 +69,7 @@
 
     def list_watchers(self, target):
         """List the boxes that watch a target; empty: each box probes it."""
-        if len(self._members) <= readers.MOST_ALONE:
+        if len(self._members) <= readers.MAX_DIRECT_READERS:
             return ()
         return ownership.rank(target, self._members)[:WATCHERS_PER_TARGET]
 
@@ -78,15 +80,15 @@
     def is_watched(self, target, now):
         """Return whether peers watch a target and find it unreachable.
 
-        >>> watching = Watching()
-        >>> watching.set_members('a', 'bcdef')
+        >>> watchers = Watchers()
+        >>> watchers.set_members('a', 'bcdef')
         >>> names = [f't{n}' for n in range(20)]
-        >>> name = next(n for n in names if not watching.is_duty(n))
-        >>> watching.is_watched(name, 1.0)
+        >>> name = next(n for n in names if not watchers.is_duty(n))
+        >>> watchers.is_watched(name, 1.0)
         False
-        >>> watcher = watching.list_watchers(name)[0]
-        >>> _ = watching.hear(watcher, (name,), 1.0)
-        >>> watching.is_watched(name, 1.5), watching.is_watched(name, 2.5)
+        >>> watcher = watchers.list_watchers(name)[0]
+        >>> _ = watchers.receive_report(watcher, (name,), 1.0)
+        >>> watchers.is_watched(name, 1.5), watchers.is_watched(name, 2.5)
         (True, False)
         """
         watchers = self.list_watchers(target)
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -81,7 +81,7 @@
 
     def _find_bar(self, now):
         endings = self._view.endings
-        return endings.find_bar(self._progress.fingerprint, now)
+        return endings.get_quarantine(self._progress.fingerprint, now)
 
     async def _send_and_receive(self):
         outcome = outcomes.Lost('stopped', outcomes.Cause.STOPPED)
@@ -139,7 +139,7 @@
             if outcome.cause == outcomes.Cause.CLOSED:
                 endings.record_lost(fingerprint, name, now)
             elif outcome.cause in outcomes.UNANSWERED:
-                endings.record_silent(fingerprint, name, now)
+                endings.record_unanswered(fingerprint, name, now)
         self._hub.marks.look()
 
     def _record_loss(self, outcome):
@@ -358,7 +358,7 @@
         name = self._plan.entry.name
         self._hub.hearing.take(name, head.words, self._sent, certain)
         if answered and not head.words.asks_rest:
-            self._view.bars.rests.record_answered(name, self._sent)
+            self._view.bars.backoffs.record_answered(name, self._sent)
 
     def _record_version(self, version):
         prompt = self._progress.work.prompt
--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/hearing.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.gateway import marks
 from landingspool.platform import limits as field
 from landingspool.platform import notices as words_module
@@ -33,7 +33,7 @@
         self._limits = hub.view.bars.limits
         self._unreadable = set()
         self._leaving = hub.view.bars.leaving
-        self._rests = hub.view.bars.rests
+        self._rests = hub.view.bars.backoffs
 
     def take(self, name, words, asked, certain=True):
         """Take in what an answer of a target says.
@@ -84,7 +84,7 @@
         if not limits and not leaving:
             return
         lives = self._hub.view.fleet.list_lives()
-        names = {neighbours.code_target(name): name for name in lives}
+        names = {peer_digests.hash_target(name): name for name in lives}
         self._look_at_limits(limits, names)
         self._look_at_leaving(leaving, names)
 
@@ -133,10 +133,12 @@
         }
         now = self._hub.clock()
         named = self._limits.list_named(entries)
-        used = {name: self._limits.find_used(name, now) for name in named}
+        used = {
+            name: self._limits.compute_used_rate(name, now) for name in named
+        }
         self._hub.metrics.record_limits(named, used, now)
         self._hub.metrics.record_leaving(self.list_leaving(now))
-        self._hub.metrics.record_resting(self._rests.list_resting(now))
+        self._hub.metrics.record_resting(self._rests.list_backoffs(now))
 
     def list_leaving(self, now):
         """Give the seconds since listed targets said that they leave."""
@@ -160,11 +162,11 @@
 
     def _take_rest(self, name, rest):
         if isinstance(rest, words_module.Rest):
-            self._rests.record_asked(name, rest.seconds, self._hub.clock())
+            self._rests.record_backoff(name, rest.seconds, self._hub.clock())
 
     def _take_leaving(self, name, leaving):
         if isinstance(leaving, words_module.Leaving):
-            self._leaving.record_told(name, self._hub.clock())
+            self._leaving.record_reported(name, self._hub.clock())
 
     def _record_unreadable(self, name, title, text):
         # One line for what a target says again and again.
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -5,7 +5,7 @@
 import time
 import traceback
 
-from landingspool.decisions.gateway import absence
+from landingspool.decisions.gateway import stalls
 from landingspool.decisions.gateway import routes
 from landingspool.decisions.gateway import view as view_module
 from landingspool.decisions import timing
@@ -172,7 +172,7 @@
         """Go on after a time in which this process did not run."""
         self.recorder.record('frozen', seconds=round(stall.seconds, 2))
         self.beat.record(stall.now)
-        absence.exclude_stall(self.view, stall.seconds, stall.now)
+        stalls.exclude_stall(self.view, stall.seconds, stall.now)
         self.sources.exclude_stall(stall.seconds)
         self.resumption.begin(stall)
 
@@ -189,11 +189,13 @@
         self.hearing.sweep()
         bars = self.view.bars
         self.metrics.record_targets(
-            len(bars.coldness.list_cold(tick.now)),
+            len(bars.cold_targets.list_cold(tick.now)),
             bars.evacuation.describe(tick.now),
             self.view.partition.is_on,
         )
-        self.metrics.barred.set(len(self.view.endings.list_barred(tick.now)))
+        self.metrics.barred.set(
+            len(self.view.endings.list_quarantined(tick.now))
+        )
 
     def _record_figures(self, tick):
         self.recorder.record(
@@ -206,10 +208,10 @@
             open=self.listener.count_busy(),
             proof_s=self.view.proof.age_to_log(tick.now),
             stores=self._describe_stores(tick.now),
-            cold=len(self.view.bars.coldness.list_cold(tick.now)),
+            cold=len(self.view.bars.cold_targets.list_cold(tick.now)),
             evacuated=self.view.bars.evacuation.describe(tick.now),
             leaving=self.hearing.list_leaving(tick.now),
-            resting=self.view.bars.rests.list_resting(tick.now),
+            resting=self.view.bars.backoffs.list_backoffs(tick.now),
         )
 
     def _describe_stores(self, now):
--- a/landingspool/gateway/marks.py
+++ b/landingspool/gateway/marks.py
@@ -8,7 +8,7 @@
 import asyncio
 import typing
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.platform import catalogue
 from landingspool.platform import names
 from landingspool.platform import store as store_module
@@ -28,7 +28,7 @@
 
 
 class Marks:
-    """The lasting part of what endings.Endings knows.
+    """The lasting part of what endings.Crashes knows.
 
     Parameters
     ----------
@@ -65,7 +65,9 @@
             else:
                 fingerprint = bytes.fromhex(key)
                 words = [
-                    neighbours.CrashNotice(fingerprint, neighbours.NO_LIFE, 0)
+                    peer_digests.CrashNotice(
+                        fingerprint, peer_digests.NO_INCARNATION, 0
+                    )
                 ]
         except (catalogue.Malformed, ValueError) as error:
             self._hub.recorder.record(
@@ -93,7 +95,7 @@
         now = self._hub.clock()
         words = self._endings.list_notices(fingerprint, now)
         lives = self._hub.view.fleet.list_lives()
-        found = {neighbours.code_target(name): name for name in lives}
+        found = {peer_digests.hash_target(name): name for name in lives}
         self._hub.recorder.record(
             'barred',
             content=fingerprint.hex(),
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from landingspool.boxes import datagrams
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import readers
 from landingspool.decisions import ownership
 from landingspool.gateway import boxcalls
@@ -149,7 +149,7 @@
 
     def is_large(self):
         """Tell whether this domain has boxes that read for others."""
-        return len(self._list_near()) >= readers.MOST_ALONE
+        return len(self._list_near()) >= readers.MAX_DIRECT_READERS
 
     def _list_near(self):
         domain = self._hub.place.domain
@@ -219,11 +219,11 @@
         view = self._hub.view
         self._number += 1
         self._sent = now
-        digest = neighbours.Digest(
+        digest = peer_digests.Digest(
             box=self._hub.place.box,
             domain=self._hub.place.domain,
             number=self._number,
-            loads=neighbours.code_loads(view.loads.list_told()),
+            loads=peer_digests.hash_loads(view.loads.list_told()),
             unreached=view.reach.list_told(),
             rooms=view.rooms,
             link_mbps=self._hub.place.link_mbps,
@@ -242,17 +242,17 @@
             return
         self._number += 1
         self._asks = {self._number: tick.now}
-        ask = neighbours.Ask(self._hub.place.box, self._number)
+        ask = peer_digests.Ask(self._hub.place.box, self._number)
         for address in self._pick(ASKED):
             self._socket.send(ask, address)
 
     def _pick_told(self):
         if not self.peers:
-            return self._pick(neighbours.FAN_OUT)
+            return self._pick(peer_digests.FAN_OUT)
         domain, near, far = self._hub.place.domain, [], []
         for peer in self.peers.values():
             (near if peer.domain == domain else far).append(peer.address)
-        return neighbours.pick_told(near, far, self._hub.view.rng)
+        return peer_digests.pick_recipients(near, far, self._hub.view.rng)
 
     def _pick(self, most):
         # The seeds are a start where the store tells of no box.
@@ -283,7 +283,7 @@
         view = self._hub.view
         if view.table is None:
             return
-        tell = neighbours.Tell(
+        tell = peer_digests.Tell(
             self._hub.place.box,
             ask.number,
             view.table.version,
@@ -357,9 +357,9 @@
 
 
 HANDLERS = {
-    neighbours.Digest: Peering._take_digest,
-    neighbours.Ask: Peering._take_ask,
-    neighbours.Tell: Peering._take_tell,
+    peer_digests.Digest: Peering._take_digest,
+    peer_digests.Ask: Peering._take_ask,
+    peer_digests.Tell: Peering._take_tell,
 }
 
 
--- a/landingspool/gateway/progress.py
+++ b/landingspool/gateway/progress.py
@@ -66,7 +66,7 @@
         """Take in what is asked for; the route bounds its time."""
         self.work = work
         self.ends = self.started + min(self.call.left_s, work.route.timeout_s)
-        self.fingerprint = fingerprints.take_fingerprint(
+        self.fingerprint = fingerprints.compute_fingerprint(
             work.tenancy.name if work.tenancy else '',
             self.call.target,
             self.body,
--- a/landingspool/gateway/registry.py
+++ b/landingspool/gateway/registry.py
@@ -116,7 +116,7 @@
             peer = read_peer(key, value)
             if peer is not None and key != self._hub.place.box:
                 listed[key] = peer
-        heard = self._hub.view.neighbours.list_heard(self._hub.clock())
+        heard = self._hub.view.neighbours.list_fresh_peers(self._hub.clock())
         for name in list(self._peers):
             if name not in listed and name not in heard:
                 del self._peers[name]
--- a/landingspool/gateway/relay.py
+++ b/landingspool/gateway/relay.py
@@ -10,7 +10,7 @@
 import typing
 
 from landingspool.decisions.gateway import admission
-from landingspool.decisions.gateway import bars
+from landingspool.decisions.gateway import exclusions
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import routes
 from landingspool.gateway import attempts
@@ -100,7 +100,7 @@
             now = self._hub.clock()
             if progress.is_over(now):
                 return await self._give_up('time_over', 504)
-            bar = self._view.endings.find_bar(progress.fingerprint, now)
+            bar = self._view.endings.get_quarantine(progress.fingerprint, now)
             if bar is not None:
                 return await self._stop(bar, now)
             ready = self._hub.upstream.list_ready(
@@ -115,7 +115,7 @@
                 if not self._view.room.take(
                     progress.work, self._view.table, now
                 ):
-                    return await self._defer(bars.LIMITED, now)
+                    return await self._defer(exclusions.LIMITED, now)
             if not progress.sends and not self._view.is_admitted(
                 plan, progress.work
             ):
@@ -239,7 +239,7 @@
 
     def _find_room(self, now):
         left_s = self._progress.find_left(now)
-        return self._view.room.find_return(
+        return self._view.room.compute_retry_after(
             self._progress.work, self._view.table, left_s, now
         )
 
@@ -296,9 +296,9 @@
 
 # How to find when a request may be served that nothing may get now.
 RETURNS = {
-    bars.LIMITED: Relay._find_room,
-    bars.RESTING: Relay._find_room,
-    bars.LEAVING: Relay._find_replacement,
+    exclusions.LIMITED: Relay._find_room,
+    exclusions.BACKING_OFF: Relay._find_room,
+    exclusions.LEAVING: Relay._find_replacement,
 }
 JUDGES = {
     outcomes.Done: Relay._judge_done,
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from landingspool.decisions.gateway import fleet as fleet_module
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.platform import catalogue
 
 
@@ -42,9 +42,9 @@
     targets: dict[str, bytes]
     targets_end: int
     evacuated: list[str] = []
-    endings: list[neighbours.CrashNotice] = []
-    limits: list[neighbours.LimitNotice] = []
-    leaving: list[neighbours.LeavingNotice] = []
+    endings: list[peer_digests.CrashNotice] = []
+    limits: list[peer_digests.LimitNotice] = []
+    leaving: list[peer_digests.LeavingNotice] = []
 
 
 class State:
--- a/landingspool/platform/catalogue.py
+++ b/landingspool/platform/catalogue.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from landingspool.decisions.gateway import coldness
+from landingspool.decisions.gateway import cold_targets
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import rollouts
 from landingspool.decisions.gateway import routes
 from landingspool.platform import boot
@@ -108,7 +108,7 @@
         max_connections=int(row.get('max_connections', 64)),
         engine=read_engine(row.get('engine')),
         keeper=read_keeper(row),
-        cold=coldness.Bound(
+        cold=cold_targets.Bound(
             float(row.get('cold_start_s') or 0),
             float(row.get('cold_per_s') or 0),
         ),
@@ -291,7 +291,7 @@
 def read_endings(key, value, wall):
     """Decode the targets that ended under a request, as CrashNotice.
 
-    >>> word = neighbours.CrashNotice(b'f', 7, 500)
+    >>> word = peer_digests.CrashNotice(b'f', 7, 500)
     >>> read_endings('66', write_endings([word], 10.0), 12.0)
     [CrashNotice(fingerprint=b'f', life=7, age_ms=2500)]
 
@@ -302,7 +302,7 @@
     try:
         fingerprint = bytes.fromhex(key)
         return [
-            neighbours.CrashNotice(
+            peer_digests.CrashNotice(
                 fingerprint, int(life), max(int(wall * 1000) - int(at), 0)
             )
             for life, at in json.loads(value)
--- a/tests/gateway/test_evacuation.py
+++ b/tests/gateway/test_evacuation.py
@@ -179,7 +179,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         put(deployment)
-        hub.view.bars.coldness.record_told('p0', 9.0, hub.clock())
+        hub.view.bars.cold_targets.record_reported('p0', 9.0, hub.clock())
         wanted = b'evacuated_seconds{domain="d2"}'
         await site.wait_until(lambda: wanted in hub.metrics.render())
         assert b'gateway_cold_targets 1.0' in hub.metrics.render()
--- a/tests/gateway/test_limit_load.py
+++ b/tests/gateway/test_limit_load.py
@@ -12,7 +12,7 @@
 import pytest
 
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import routes
 from landingspool.decisions.gateway import view as view_module
 from landingspool.gateway import deployment
@@ -125,9 +125,9 @@
         view = self.views[name]
         notices = view.bars.limits.tell(now)
         number = next(self._ties)
-        digest = neighbours.Digest(name, 'd', number, {}, limits=notices)
+        digest = peer_digests.Digest(name, 'd', number, {}, limits=notices)
         others = [other for other in self.views if other != name]
-        for other in neighbours.pick_told(others, [], self.rng):
+        for other in peer_digests.pick_recipients(others, [], self.rng):
             if self.rng.random() >= LOST_SHARE:
                 self._schedule(
                     now + TRANSIT_S, self._receive_digest, other, digest
--- a/tests/gateway/test_standstill.py
+++ b/tests/gateway/test_standstill.py
@@ -137,7 +137,7 @@
         await site.wait_until(lambda: count_ran(deployment) == len(works))
         suspend(STANDSTILL_S)
         hub.timer.look()
-        assert hub.view.neighbours.list_heard(hub.clock()) == ['box1']
+        assert hub.view.neighbours.list_fresh_peers(hub.clock()) == ['box1']
         answers = await asyncio.gather(*works)
         assert [a.status for a in answers] == [200] * len(works)
         for entry in hub.view.fleet.entries.values():
