--- a/landingspool/decisions/gateway/backoffs.py
+++ b/landingspool/decisions/gateway/backoffs.py
@@ -91,10 +91,10 @@
         known = self._known.get(name)
         if known is not None and known.until >= until:
             return
-        rest = Backoff(now, until)
+        backoff = Backoff(now, until)
         if known is None or until > max(known.until, now) + RELOG_S:
-            self.fresh.append(BackoffChange(name, rest))
-        self._known[name] = rest
+            self.fresh.append(BackoffChange(name, backoff))
+        self._known[name] = backoff
         self._known.move_to_end(name)
         bounded.trim(self._known, MAX_KNOWN)
 
--- a/landingspool/decisions/gateway/capacity.py
+++ b/landingspool/decisions/gateway/capacity.py
@@ -33,9 +33,9 @@
 
     def take(self, work, table, now):
         """Return whether a request may use some of the scarce capacity."""
-        limits = self._exclusions.get_requirements(work, table)
+        requirements = self._exclusions.get_requirements(work, table)
         known = self._fleet.list_service(work.service)
-        entries = self._exclusions.list_limited(known, limits, now)
+        entries = self._exclusions.list_limited(known, requirements, now)
         free_per_s = self._sum_capacity(entries, now)
         return self._pacer.take(
             work.service, work.route.priority, free_per_s, now
@@ -55,9 +55,9 @@
         left_s : float
             Seconds for which the caller waits.
         """
-        limits = self._exclusions.get_requirements(work, table)
+        requirements = self._exclusions.get_requirements(work, table)
         known = self._fleet.list_service(work.service)
-        entries = self._exclusions.list_temporary(known, limits, now)
+        entries = self._exclusions.list_temporary(known, requirements, now)
         free_per_s = self._sum_capacity(entries, now)
         wait_s = self._compute_wait(entries, now)
         if wait_s is None:
--- a/landingspool/decisions/gateway/crashes.py
+++ b/landingspool/decisions/gateway/crashes.py
@@ -23,8 +23,8 @@
 
 # Targets that may crash under a request before it is quarantined.  The
 # requirements name the third, and an innocent request is seldom at three
-# targets that crash: of 230 arrivals lost at 13 engines that crashed within 12
-# s, 64 were lost at two and 1 at three.
+# targets that crash: of 230 arrivals lost at 13 engines that crashed within
+# 12 s, 64 were lost at two and 1 at three.
 MAX_CRASHES = 3
 # Seconds for which a crash is remembered.  A request that crashes targets does
 # so whenever it comes, and each time it is forgotten costs one more target.
--- a/landingspool/decisions/gateway/exclusions.py
+++ b/landingspool/decisions/gateway/exclusions.py
@@ -69,9 +69,9 @@
             get_cold_bound(table, work.service),
         )
 
-    def get_exclusion(self, entry, limits, now):
+    def get_exclusion(self, entry, requirements, now):
         """Return why a target must not get a request, or None if it may."""
-        exclusion = self._get_lasting(entry, limits)
+        exclusion = self._get_lasting(entry, requirements)
         if exclusion is not None:
             return exclusion
         # The back-off is honored for its whole length.  With only the
@@ -79,7 +79,7 @@
         # requests in that time.
         if not self.backoffs.may_send(entry.name, now):
             return BACKING_OFF
-        if not self.cold_targets.may_send(entry.name, limits.cold, now):
+        if not self.cold_targets.may_send(entry.name, requirements.cold, now):
             return 'cold'
         # The limit holds for all boxes together.  When each box counted only
         # its own requests, targets received seven times their limit.
@@ -87,9 +87,9 @@
             return LIMITED
         return None
 
-    def _get_lasting(self, entry, limits):
+    def _get_lasting(self, entry, requirements):
         """Return the exclusion that is independent of earlier requests."""
-        if not homes.is_home(entry.domain, limits.regions, self.regions):
+        if not homes.is_home(entry.domain, requirements.regions, self.regions):
             return 'no_home'
         if self.evacuation.holds(entry.domain):
             return 'evacuated'
@@ -110,20 +110,20 @@
         evacuated = self.evacuation.holds(entry.domain)
         return evacuated or self.leaving.holds(entry.name)
 
-    def list_limited(self, entries, limits, now):
+    def list_limited(self, entries, requirements, now):
         """List the entries with limits that have no other exclusion now."""
         return [
             entry
-            for entry in self.list_temporary(entries, limits, now)
+            for entry in self.list_temporary(entries, requirements, now)
             if self.backoffs.may_send(entry.name, now)
         ]
 
-    def list_temporary(self, entries, limits, now):
+    def list_temporary(self, entries, requirements, now):
         """List the entries excluded by nothing but a limit or a back-off."""
         return [
             entry
             for entry in entries
-            if self._get_lasting(entry, limits) is None
+            if self._get_lasting(entry, requirements) is None
             and (
                 self.limits.find(entry.name) is not None
                 or not self.backoffs.may_send(entry.name, now)
@@ -146,16 +146,18 @@
         self.shares.record_sent(name, now)
         self.backoffs.record_sent(name, now)
 
-    def list_open(self, entries, limits, now):
+    def list_open(self, entries, requirements, now):
         """List the entries that are not excluded."""
         return [
-            e for e in entries if self.get_exclusion(e, limits, now) is None
+            e
+            for e in entries
+            if self.get_exclusion(e, requirements, now) is None
         ]
 
-    def find_lack(self, entries, limits, now):
+    def find_lack(self, entries, requirements, now):
         """Return why no target other than those tried may get a request."""
         exclusions = {
-            self.get_exclusion(entry, limits, now) for entry in entries
+            self.get_exclusion(entry, requirements, now) for entry in entries
         }
         exclusions.discard(None)
         for exclusion in TEMPORARY:
--- a/landingspool/decisions/gateway/readers.py
+++ b/landingspool/decisions/gateway/readers.py
@@ -8,8 +8,8 @@
 Two rules limit the age of a table.  A box that gets no answer from the store
 reports so at once, and follows a peer itself.  And whatever its peers report,
 a box reads for itself as soon as its own proof is old.  Without this rule, in
-a domain of 19 boxes, giving up two failed readers one after the other took 2.4
-s; with it, 0.1 s (tests/gateway/test_turned_away.py).
+a domain of 19 boxes, giving up two failed readers one after the other took
+2.4 s; with it, 0.1 s (tests/gateway/test_turned_away.py).
 """
 
 import typing
@@ -32,8 +32,8 @@
 MAX_HOLD_S = 1.2
 # Share of the maximum table age at which a box's own proof is too old to rely
 # on.  It is above the age reached in a chain of two reads, and the remainder
-# suffices for a read that has to wait for its time-out of a second (1.8 of 3
-# s) or for a busy store (1.2 of 2 s).
+# suffices for a read that has to wait for its time-out of a second
+# (1.8 of 3 s) or for a busy store (1.2 of 2 s).
 OLD_SHARE = 0.6
 
 
