--- a/bench/limits.py
+++ b/bench/limits.py
@@ -110,7 +110,7 @@
         for _, name, domain, message in due:
             owned = self.limiters[domain]
             if hasattr(message, 'term'):
-                owned.borrowed(message, now)
+                owned.accept_loan(message, now)
                 continue
             lend = owned.lend(message, LIMIT, DOMAINS, now)
             if lend is not None:
--- a/bench/micro.py
+++ b/bench/micro.py
@@ -200,7 +200,7 @@
 
     def call():
         grant = current[0]
-        flight = owned.flights[grant.grant]
+        flight = owned.active_grants[grant.grant]
         sends = owned.finish(make_done(flight.work, grant), 10.0)
         current[0] = sends[0].message
 
@@ -254,7 +254,7 @@
     now, sent, spent = 0.0, 0, []
     start = rounds // 2
     for step in range(rounds * 5):
-        now += membership.ROUND_S / 5
+        now += membership.PROBE_PERIOD_S / 5
         pending = []
         for name, view in views.items():
             before = time.perf_counter_ns()
@@ -267,7 +267,7 @@
                 sent += len(cbor2.dumps(messages.pack(message)))
             out = views[box].handle(sender, message, now)
             pending += [(box, to, reply) for to, reply in out]
-    seconds = (rounds - start) * membership.ROUND_S
+    seconds = (rounds - start) * membership.PROBE_PERIOD_S
     return {
         'bytes_a_second': round(sent / boxes / seconds, 1),
         'tick_us': round(statistics.mean(spent), 2),
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -15,7 +15,7 @@
 from landingspool.decisions import records
 from landingspool.decisions import request as life_module
 from landingspool import http
-from landingspool import patience
+from landingspool import timeouts
 from landingspool.targets import client as targets
 from landingspool import verdict
 
@@ -61,7 +61,7 @@
         self.row = row
         self.outlet = outlet
         self.request = f'{row.workspace}/{demand.request}'
-        self.life = life_module.Life(demand.repeatable)
+        self.life = life_module.RequestState(demand.repeatable)
         self.started = self.core.timer.now()
         self.deadline = self.started + demand.deadline_s
         self.first_token = -1.0
@@ -76,7 +76,7 @@
         """Serve the request; returns an answers.Kept or a Rejection."""
         inbox = self.core.open_inbox(self.request)
         try:
-            async with patience.Limit(self.demand.deadline_s):
+            async with timeouts.Timeout(self.demand.deadline_s):
                 return await self._serve(inbox)
         except TimeoutError:
             self._cancel_run()
@@ -114,7 +114,7 @@
             workspace=self.row.workspace,
             model=demand.model,
             pieces=self.pieces,
-            prompt_tokens=identity.count_tokens(demand.prompt),
+            prompt_tokens=identity.estimate_tokens(demand.prompt),
             output_tokens=demand.max_tokens,
             waited=0.0,
             left=demand.deadline_s,
@@ -134,7 +134,7 @@
             fetch=len(grant.fetch),
             cached=grant.cached,
         )
-        self._address = self.core.find_address(grant.target)
+        self._address = self.core.get_address(grant.target)
         began = self.core.timer.now()
         reason = self._find_stale(grant, came)
         if reason:
@@ -356,11 +356,11 @@
         return self.demand.model in self.box.plain_models()
 
     def _pool(self):
-        case = self.core.node.entry.get_case(self.request)
+        case = self.core.node.entry.get_tracked(self.request)
         return case.work.pool if case else ''
 
     def _send_scheduler(self, message):
-        case = self.core.node.entry.get_case(self.request)
+        case = self.core.node.entry.get_tracked(self.request)
         if case is None:
             return
         now = self.core.timer.now()
@@ -409,7 +409,7 @@
         # A request that was never sent gives its place back when it is
         # closed; one that may run is cancelled at its target.
         if self.life.verdict is MAY_HAVE_RUN and self._address:
-            case = self.core.node.entry.get_case(self.request)
+            case = self.core.node.entry.get_tracked(self.request)
             if case is not None and case.grant is not None:
                 run = f'{self.request}#{case.grant.grant}'
                 call = targets.cancel(self.core.client, self._address, run)
--- a/landingspool/core.py
+++ b/landingspool/core.py
@@ -8,7 +8,7 @@
 import asyncio
 import traceback
 
-from landingspool.decisions import keeper
+from landingspool.decisions import kv_offload
 from landingspool.decisions import outputs
 from landingspool import http
 from landingspool.stores import client as stores
@@ -43,7 +43,7 @@
         self.metrics = metrics
         self.client = client
         self.links = None
-        self.relays = {}
+        self.message_handlers = {}
         self._inboxes = {}
         self._tasks = set()
         self._event_numbers = {}
@@ -113,7 +113,7 @@
         """Take in the live list."""
         self.perform(self.node.set_live(members, self.timer.now()))
 
-    def find_address(self, name):
+    def get_address(self, name):
         """Give the Address of a member, or None."""
         member = self.node.members.get(name)
         return http.Address(member.host, member.port) if member else None
@@ -145,7 +145,7 @@
             inbox.put_nowait((action.message, self.timer.now()))
 
     def _relay(self, action):
-        call = self.relays.get(type(action.message))
+        call = self.message_handlers.get(type(action.message))
         if call is not None:
             call(action.sender, action.message)
 
@@ -258,7 +258,7 @@
         gap = events[0].number != after + 1
         for owned in self.node.pools.schedulers.values():
             if member.name in owned.targets:
-                owned.take_events(member.name, events, gap)
+                owned.apply_cache_events(member.name, events, gap)
 
     async def _poll_stores(self):
         while True:
@@ -281,10 +281,10 @@
 
 PERFORMERS = {
     outputs.Send: Core._send,
-    outputs.Note: Core._record,
+    outputs.TimelineEvent: Core._record,
     outputs.Decide: Core._decide,
     outputs.Relay: Core._relay,
     outputs.Command: Core._command,
-    keeper.Export: Core._export,
-    keeper.Free: Core._free,
+    kv_offload.Export: Core._export,
+    kv_offload.Free: Core._free,
 }
--- a/landingspool/decisions/directory.py
+++ b/landingspool/decisions/directory.py
@@ -82,7 +82,7 @@
         for key in keys:
             self._stored.pop(key, None)
 
-    def find_stored(self, keys):
+    def list_stored(self, keys):
         """Give what is on offer for each key, or None."""
         return [self._stored.get(key) for key in keys]
 
--- a/landingspool/decisions/entry.py
+++ b/landingspool/decisions/entry.py
@@ -86,13 +86,13 @@
         self.domain = domain
         self._view = view
         self._shard = shard
-        self._cases = {}
+        self._tracked = {}
         self._announced = 0.0
         self._renewed = 0.0
-        self._beat = timing.Beat()
+        self._beat = timing.Heartbeat()
 
     def __len__(self):
-        return len(self._cases)
+        return len(self._tracked)
 
     def open(self, work, now):
         """Begin to ask for a place; returns a list of actions.
@@ -109,15 +109,15 @@
             limiter='',
             limit_asked=now,
         )
-        self._cases[work.request] = case
+        self._tracked[work.request] = case
         return [*self._reserve(case, now), *self._ask(work.request, now)]
 
     def ask_again(self, request, avoid, now):
         """Ask for another place after one that could not be used."""
-        case = self._cases[request]
+        case = self._tracked[request]
         avoided = tuple(dict.fromkeys((*case.work.avoid, *avoid)))
         work = case.work._replace(avoid=avoided, hops=0)
-        self._cases[request] = case._replace(
+        self._tracked[request] = case._replace(
             work=work,
             grant=None,
             asks=0,
@@ -129,15 +129,15 @@
 
     def give_back(self, done, now):
         """Return a place, used or not; the request itself stays open."""
-        case = self._cases.get(done.request)
+        case = self._tracked.get(done.request)
         if case is None:
             return []
-        self._cases[done.request] = case._replace(grant=None, returned=True)
+        self._tracked[done.request] = case._replace(grant=None, returned=True)
         return [outputs.Send(case.scheduler, done)]
 
     def close(self, request, now):
         """End a request: its place at the limiter is free again."""
-        case = self._cases.pop(request, None)
+        case = self._tracked.pop(request, None)
         if case is None:
             return []
         release = messages.Release(request, case.work.workspace)
@@ -158,7 +158,7 @@
         """Ask again where nobody answered, follow moved owners, renew."""
         self._beat.record(now)
         actions = []
-        for request, case in list(self._cases.items()):
+        for request, case in list(self._tracked.items()):
             actions += self._follow(request, case, now)
         renew = now - self._renewed >= RENEW_S
         if renew or now - self._announced >= ANNOUNCE_S:
@@ -171,8 +171,8 @@
 
     def resume(self, seconds):
         """Leave out so many seconds in which this process did not run."""
-        for request, case in self._cases.items():
-            self._cases[request] = case._replace(
+        for request, case in self._tracked.items():
+            self._tracked[request] = case._replace(
                 asked=case.asked + seconds,
                 limit_asked=case.limit_asked + seconds,
             )
@@ -181,46 +181,46 @@
         """Tell whether this process ran all the time until `now`."""
         return self._beat.is_fresh(now)
 
-    def get_case(self, request):
+    def get_tracked(self, request):
         """Give the Case of a request, or None."""
-        return self._cases.get(request)
+        return self._tracked.get(request)
 
     def _on_grant(self, sender, grant, now):
-        case = self._cases.get(grant.request)
+        case = self._tracked.get(grant.request)
         if case is None or (case.grant and case.grant.grant != grant.grant):
             return [outputs.Send(sender, make_unused(grant, case))]
         if case.grant is not None:
             return []
         case = case._replace(grant=grant, scheduler=sender, heard=True)
-        self._cases[grant.request] = case
+        self._tracked[grant.request] = case
         if not case.reserved:
             return []
         return [outputs.Decide(grant.request, grant)]
 
     def _on_refuse(self, sender, refuse, now):
-        case = self._cases.get(refuse.request)
+        case = self._tracked.get(refuse.request)
         if case is None or case.grant or sender != case.scheduler:
             return []
         return [outputs.Decide(refuse.request, refuse)]
 
     def _on_spill(self, sender, spill, now):
-        case = self._cases.get(spill.request)
+        case = self._tracked.get(spill.request)
         if case is None or case.grant or sender != case.scheduler:
             return []
         work = case.work._replace(hops=case.work.hops + 1)
-        self._cases[spill.request] = case._replace(
+        self._tracked[spill.request] = case._replace(
             work=work, domain=spill.domain, asks=0, heard=False
         )
         return self._ask(spill.request, now)
 
     def _on_queued(self, sender, queued, now):
-        case = self._cases.get(queued.request)
+        case = self._tracked.get(queued.request)
         if case is not None and sender == case.scheduler:
-            self._cases[queued.request] = case._replace(heard=True)
+            self._tracked[queued.request] = case._replace(heard=True)
         return []
 
     def _on_reserved(self, sender, reserved, now):
-        case = self._cases.get(reserved.request)
+        case = self._tracked.get(reserved.request)
         if case is None or case.reserved:
             return []
         if not reserved.admitted:
@@ -228,7 +228,7 @@
                 reserved.request, 'limit', reserved.retry_after
             )
             return [outputs.Decide(reserved.request, refuse)]
-        self._cases[reserved.request] = case._replace(
+        self._tracked[reserved.request] = case._replace(
             reserved=True, limiter=sender
         )
         if case.grant is None:
@@ -239,7 +239,7 @@
         return self._announce_to(unknown.pool, sender, now, whole=True)
 
     def _ask(self, request, now):
-        case = self._cases[request]
+        case = self._tracked[request]
         shard = self._shard(case.work, case.domain)
         box = self._pick(shard, case.domain, case.asks)
         if box is None:
@@ -250,7 +250,7 @@
             asked=now,
             heard=False,
         )
-        self._cases[request] = asked
+        self._tracked[request] = asked
         sends = [outputs.Send(box, messages.Ask(refresh_work(asked, now)))]
         if case.scheduler and case.scheduler != box:
             withdraw = messages.Withdraw(request, case.work.pool)
@@ -264,16 +264,16 @@
                 request, 'no_scheduler', SILENT_RETRY_AFTER_S
             )
             return [outputs.Decide(request, refuse)]
-        self._cases[request] = case._replace(domain=self.domain, asks=0)
+        self._tracked[request] = case._replace(domain=self.domain, asks=0)
         return self._ask(request, now)
 
     def _reserve(self, case, now):
         work = case.work
         box = self._pick(
-            name_account(work.workspace), self.domain, case.limit_asks
+            make_limiter_key(work.workspace), self.domain, case.limit_asks
         )
         box = box or self.box
-        self._cases[work.request] = self._cases[work.request]._replace(
+        self._tracked[work.request] = self._tracked[work.request]._replace(
             limiter=box, limit_asked=now
         )
         reserve = messages.Reserve(work.request, self.box, work.workspace)
@@ -291,15 +291,15 @@
         actions = []
         if not case.reserved and now - case.limit_asked >= ANSWER_S:
             case = case._replace(limit_asks=case.limit_asks + 1)
-            self._cases[request] = case
+            self._tracked[request] = case
             actions += self._reserve(case, now)
-        case = self._cases[request]
+        case = self._tracked[request]
         if case.grant is not None:
             return actions
         if not case.heard and now - case.asked >= ANSWER_S:
             return actions + self._ask_next(request, case, now)
         if case.heard and self._has_moved(case):
-            self._cases[request] = case._replace(asks=0)
+            self._tracked[request] = case._replace(asks=0)
             return actions + self._ask(request, now)
         return actions
 
@@ -312,7 +312,7 @@
         domain, asks = case.domain, case.asks + 1
         if domain != self.domain and asks >= 2:
             domain, asks = self.domain, 0
-        self._cases[request] = case._replace(domain=domain, asks=asks)
+        self._tracked[request] = case._replace(domain=domain, asks=asks)
         return self._ask(request, now)
 
     def _has_moved(self, case):
@@ -321,7 +321,7 @@
     def _announce(self, now, renew):
         boxes = {
             (case.work.pool, case.scheduler)
-            for case in self._cases.values()
+            for case in self._tracked.values()
             if renew or case.grant is None
         }
         actions = []
@@ -332,7 +332,7 @@
     def _announce_to(self, pool, box, now, whole=False, renew=True):
         cases = [
             case
-            for case in self._cases.values()
+            for case in self._tracked.values()
             if case.work.pool == pool and case.scheduler == box
         ]
         waiting = tuple(
@@ -355,7 +355,7 @@
 
     def _renew(self):
         boxes = {}
-        for request, case in self._cases.items():
+        for request, case in self._tracked.items():
             if case.reserved:
                 rows = boxes.setdefault(case.limiter, {})
                 rows.setdefault(case.work.workspace, []).append(request)
@@ -378,7 +378,7 @@
     )
 
 
-def name_account(workspace):
+def make_limiter_key(workspace):
     """Give the name under which a workspace's limiter is hashed."""
     return f'limit/{workspace}'
 
--- a/landingspool/decisions/gateway/exclusions.py
+++ b/landingspool/decisions/gateway/exclusions.py
@@ -12,7 +12,7 @@
 from landingspool.decisions.gateway import backoffs as backoffs_module
 from landingspool.decisions.gateway import cold_targets as cold_targets_module
 from landingspool.decisions.gateway import evacuation
-from landingspool.decisions.gateway import homes
+from landingspool.decisions.gateway import allowed_regions
 from landingspool.decisions.gateway import leaving as leaving_module
 from landingspool.decisions.gateway import limits as limits_module
 from landingspool.decisions.gateway import shares as shares_module
@@ -65,7 +65,7 @@
     def get_requirements(self, work, table):
         """Return the Requirements of a request."""
         return Requirements(
-            homes.find_regions(work.route, work.tenancy),
+            allowed_regions.get_allowed_regions(work.route, work.tenancy),
             get_cold_bound(table, work.service),
         )
 
@@ -89,7 +89,9 @@
 
     def _get_lasting(self, entry, requirements):
         """Return the exclusion that is independent of earlier requests."""
-        if not homes.is_home(entry.domain, requirements.regions, self.regions):
+        if not allowed_regions.is_domain_allowed(
+            entry.domain, requirements.regions, self.regions
+        ):
             return 'no_home'
         if self.evacuation.holds(entry.domain):
             return 'evacuated'
@@ -170,11 +172,13 @@
 
         The keys are the addresses of the stores.
         """
-        regions = homes.find_regions(work.route, work.tenancy)
+        regions = allowed_regions.get_allowed_regions(work.route, work.tenancy)
         return {
-            address: keeper
-            for address, keeper in table.keepers.items()
-            if homes.is_home(keeper.domain, regions, self.regions)
+            address: context_store
+            for address, context_store in table.context_stores.items()
+            if allowed_regions.is_domain_allowed(
+                context_store.domain, regions, self.regions
+            )
         }
 
     def withdraw_evacuation(self, domain, entries, table, now):
--- a/landingspool/decisions/gateway/loads.py
+++ b/landingspool/decisions/gateway/loads.py
@@ -68,7 +68,7 @@
         if not at_target:
             del self._sent[target]
 
-    def record_heard(self, target, now):
+    def record_received(self, target, now):
         """Note that a target sent something."""
         self._heard[target] = now
 
--- a/landingspool/decisions/identity.py
+++ b/landingspool/decisions/identity.py
@@ -23,12 +23,12 @@
     adapter: str
 
 
-def count_tokens(text):
+def estimate_tokens(text):
     """Estimate the tokens of a prompt from its size in bytes.
 
     The engines count exactly; here only the order of size is needed.
 
-    >>> count_tokens('x' * 8)
+    >>> estimate_tokens('x' * 8)
     2
     """
     return max(1, len(text.encode()) // BYTES_PER_TOKEN)
--- a/landingspool/decisions/keeper.py
+++ b/landingspool/decisions/kv_offload.py
@@ -96,7 +96,7 @@
 
         Parameters
         ----------
-        flight : pool.Flight
+        flight : pool.ActiveGrant
             Its grant, with the names of its pieces.
         target : pool.Target or None
         directory : directory.Directory
--- a/landingspool/decisions/limiter.py
+++ b/landingspool/decisions/limiter.py
@@ -49,22 +49,22 @@
     def __init__(self):
         self.used = {}
         self.lent = []
-        self.borrowed = []
+        self.accept_loan = []
         self.wanted = 0
         self.asked = float('-inf')
 
     def expire(self, now):
         """Drop loans and places whose time is over."""
         self.lent = [loan for loan in self.lent if loan.until > now]
-        self.borrowed = [row for row in self.borrowed if row.until > now]
+        self.accept_loan = [row for row in self.accept_loan if row.until > now]
         for request in [r for r, p in self.used.items() if p.until <= now]:
             del self.used[request]
 
     def allot(self, floor):
         """Give the number of places that this domain may use now."""
         lent = sum(loan.amount for loan in self.lent)
-        borrowed = sum(loan.amount for loan in self.borrowed)
-        return floor - lent + borrowed
+        accept_loan = sum(loan.amount for loan in self.accept_loan)
+        return floor - lent + accept_loan
 
 
 def split_limit(limit, domains):
@@ -146,7 +146,7 @@
                 until = place.until + seconds
                 account.used[request] = place._replace(until=until)
 
-    def tick(self, limit_of, domains, now):
+    def tick(self, get_limit, domains, now):
         """Give the Borrow messages that are due, as (domain, message).
 
         Only the accounts that want places or live on borrowed ones are
@@ -159,10 +159,10 @@
             return asks
         for workspace in list(self._short):
             account = self._open(workspace, now)
-            limit = limit_of(workspace)
+            limit = get_limit(workspace)
             if limit:
                 asks += self._ask(workspace, account, limit, domains, now)
-            if not account.wanted and not account.borrowed:
+            if not account.wanted and not account.accept_loan:
                 self._short.discard(workspace)
         return asks
 
@@ -175,7 +175,7 @@
             if account is None:
                 continue
             account.expire(now)
-            if not any((account.used, account.lent, account.borrowed)):
+            if not any((account.used, account.lent, account.accept_loan)):
                 if not account.wanted:
                     del self._accounts[workspace]
 
@@ -202,10 +202,10 @@
             borrow.asked,
         )
 
-    def borrowed(self, lend, now):
+    def accept_loan(self, lend, now):
         """Take in a Lend; its term counts from when it was asked for."""
         account = self._open(lend.workspace, now)
-        if any(loan.loan == lend.loan for loan in account.borrowed):
+        if any(loan.loan == lend.loan for loan in account.accept_loan):
             return
         # The term counts from the very ask that is answered, and only asks
         # of this process are known: an answer that was late by several
@@ -216,7 +216,7 @@
         if lend.asked not in asks or until <= now:
             return
         loan = Loan(lend.loan, lend.domain, lend.amount, until)
-        account.borrowed.append(loan)
+        account.accept_loan.append(loan)
         self._short.add(lend.workspace)
 
     def count_used(self, workspace):
@@ -241,7 +241,7 @@
         short = len(account.used) + account.wanted - floor
         lasting = sum(
             loan.amount
-            for loan in account.borrowed
+            for loan in account.accept_loan
             if loan.until > now + RENEW_S
         )
         need = short + ASK_AHEAD - lasting
--- a/landingspool/decisions/membership.py
+++ b/landingspool/decisions/membership.py
@@ -17,7 +17,7 @@
 
 from landingspool.decisions import messages
 
-ROUND_S = 0.5
+PROBE_PERIOD_S = 0.5
 ACK_S = 0.2
 INDIRECT_S = 0.4
 SUSPECT_S = 2.0
@@ -150,7 +150,7 @@
         sends = self._check_pending(now)
         self._check_suspects(now)
         if now >= self._due:
-            self._due = now + ROUND_S
+            self._due = now + PROBE_PERIOD_S
             sends += self._probe_next(now)
         return sends
 
--- a/landingspool/decisions/node.py
+++ b/landingspool/decisions/node.py
@@ -177,14 +177,14 @@
             return False
         return self.pools.may_order(command, now)
 
-    def share_of(self, workspace):
+    def get_share(self, workspace):
         """Give the fair share of a workspace; the least if it has none."""
         row = self.table.rows.get(workspace)
         if row is None:
             return fairness.make_share(1.0, 0)
         return fairness.make_share(row.weight, row.priority)
 
-    def limit_of(self, workspace):
+    def get_limit(self, workspace):
         """Give the request limit of a workspace; 0 if it has none."""
         row = self.table.rows.get(workspace)
         return row.limit if row else 0
@@ -226,7 +226,9 @@
         self.leaving.add(mark)
         target, incarnation = mark
         actions = [
-            outputs.Note('leaving', {'target': target, 'source': source})
+            outputs.TimelineEvent(
+                'leaving', {'target': target, 'source': source}
+            )
         ]
         self.pools.mark_leaving(target, incarnation)
         message = messages.Leaving(target, incarnation)
@@ -240,15 +242,15 @@
         actions = [outputs.Send(box, message) for box, message in rows]
         changes, self.membership.changes = self.membership.changes, []
         for event, box in changes:
-            actions.append(outputs.Note(event, {'peer': box}))
+            actions.append(outputs.TimelineEvent(event, {'peer': box}))
         return actions
 
     def _tick_limiter(self, now):
         domains = self.roster.list_domains()
-        asks = self.limiter.tick(self.limit_of, domains, now)
+        asks = self.limiter.tick(self.get_limit, domains, now)
         actions = []
         for domain, message in asks:
-            subject = entry.name_account(message.workspace)
+            subject = entry.make_limiter_key(message.workspace)
             box = ownership.find_owner(subject, self.roster.view(domain))
             if box:
                 actions.append(outputs.Send(box, message))
@@ -265,7 +267,7 @@
             if work.hops and owner and owner != self.box:
                 return [outputs.Send(owner, message)]
         owned = self.pools.open(work.pool, now)
-        return owned.ask(work, self.share_of(work.workspace), now)
+        return owned.ask(work, self.get_share(work.workspace), now)
 
     @handles(messages.Done)
     def _on_done(self, sender, message, now):
@@ -281,7 +283,7 @@
     @handles(messages.Announce)
     def _on_announce(self, sender, message, now):
         owned = self.pools.open(message.pool, now)
-        unknown = owned.adopt(message, self.share_of, now)
+        unknown = owned.adopt(message, self.get_share, now)
         if unknown and not message.held:
             reply = messages.Unknown(message.pool, self.box)
             return [outputs.Send(sender, reply), *owned.place(now)]
@@ -289,7 +291,7 @@
 
     @handles(messages.Reserve)
     def _on_reserve(self, sender, message, now):
-        limit = self.limit_of(message.workspace)
+        limit = self.get_limit(message.workspace)
         reply = self.limiter.reserve(
             message.request,
             message.entry,
@@ -313,7 +315,7 @@
 
     @handles(messages.Borrow)
     def _on_borrow(self, sender, message, now):
-        limit = self.limit_of(message.workspace)
+        limit = self.get_limit(message.workspace)
         if not limit:
             return []
         lend = self.limiter.lend(
@@ -323,7 +325,7 @@
 
     @handles(messages.Lend)
     def _on_lend(self, sender, message, now):
-        self.limiter.borrowed(message, now)
+        self.limiter.accept_loan(message, now)
         return []
 
     @handles(messages.Probe, messages.Ack, messages.ProbeFor)
--- a/landingspool/decisions/outputs.py
+++ b/landingspool/decisions/outputs.py
@@ -13,7 +13,7 @@
     message: typing.Any
 
 
-class Note(typing.NamedTuple):
+class TimelineEvent(typing.NamedTuple):
     """Something for the time line: an event name and its fields."""
 
     event: str
--- a/landingspool/decisions/placement.py
+++ b/landingspool/decisions/placement.py
@@ -34,7 +34,7 @@
 def survey(directory, work, version):
     """Look a request's pieces up under a weight version."""
     keys = name_pieces(work.pieces, version)
-    stored = directory.find_stored(keys)
+    stored = directory.list_stored(keys)
     return Survey(keys, stored, any(stored))
 
 
@@ -66,7 +66,7 @@
         name,
         free,
         report.running,
-        len(target.flights),
+        len(target.active_grants),
         target.measure_backlog(),
         report.prefill,
         cached * identity.PIECE_TOKENS,
--- a/landingspool/decisions/pool.py
+++ b/landingspool/decisions/pool.py
@@ -23,7 +23,7 @@
 LEAST_HOLD_S = 0.02
 
 
-class Flight(typing.NamedTuple):
+class ActiveGrant(typing.NamedTuple):
     """A grant that was not given back yet.
 
     `keys` names the pieces of its prompt under the target's version.
@@ -68,7 +68,7 @@
         self.report = None
         self.heard = float('-inf')
         self.made = float('-inf')
-        self.flights = {}
+        self.active_grants = {}
         self.breaker = retries.Breaker()
         self.slowness = 1.0
         self.left = set()
@@ -132,12 +132,12 @@
 
     def count_free(self, now):
         """Give the number of places left, after all that was granted."""
-        free = self.report.slots - self._others - len(self.flights)
+        free = self.report.slots - self._others - len(self.active_grants)
         if self.breaker.state != retries.CLOSED:
             allowed, self.breaker = retries.allow(
-                self.breaker, now, len(self.flights)
+                self.breaker, now, len(self.active_grants)
             )
-            free = min(free, allowed - len(self.flights))
+            free = min(free, allowed - len(self.active_grants))
         return free
 
     def measure_backlog(self):
@@ -156,14 +156,14 @@
 
     def add_flight(self, flight):
         """Note a grant for this target."""
-        known = flight.grant in self.flights
-        self.flights[flight.grant] = flight
+        known = flight.grant in self.active_grants
+        self.active_grants[flight.grant] = flight
         if not known and flight.since >= self.made:
             self._since += flight.compute
 
     def end_flight(self, grant, now):
         """Take a grant off the target."""
-        flight = self.flights.pop(grant, None)
+        flight = self.active_grants.pop(grant, None)
         if flight is None:
             return
         self._ended.append((flight.since, now, flight.compute))
@@ -181,7 +181,7 @@
         if not self.report.queued_tokens or not report.queued_tokens:
             return
         seconds = made - self.made
-        rows = [(f.since, f.compute) for f in self.flights.values()]
+        rows = [(f.since, f.compute) for f in self.active_grants.values()]
         rows += [(since, compute) for since, _, compute in self._ended]
         came = sum(c for since, c in rows if self.made <= since < made)
         worked = self.report.queued_tokens + came - report.queued_tokens
@@ -201,11 +201,11 @@
         # on the side of using the target.
         made = self.made
         self._ended = [row for row in self._ended if row[1] >= made]
-        flights = self.flights.values()
-        ours = sum(1 for flight in flights if flight.since < made)
+        active_grants = self.active_grants.values()
+        ours = sum(1 for flight in active_grants if flight.since < made)
         ours += sum(1 for since, _, _ in self._ended if since < made)
         self._others = max(self.report.running - ours, 0)
-        self._since = sum(f.compute for f in flights if f.since >= made)
+        self._since = sum(f.compute for f in active_grants if f.since >= made)
 
 
 def measure_rate(targets, compute):
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -1,7 +1,7 @@
 """The pools that one box schedules: each with its scheduler, the keeper of
 its context, its rollout, and the right to give its targets orders."""
 
-from landingspool.decisions import keeper
+from landingspool.decisions import kv_offload
 from landingspool.decisions import messages
 from landingspool.decisions import outputs
 from landingspool.decisions import ownership
@@ -49,7 +49,9 @@
             owned.rooms = self._rooms.setdefault(model, {})
             self.schedulers[pool] = owned
             self._rollouts[pool] = rollout.Rollout()
-            self.keepers[pool] = keeper.Keeper(self._writer, self._retention)
+            self.keepers[pool] = kv_offload.Keeper(
+                self._writer, self._retention
+            )
         return owned
 
     def tick(self, table, now):
@@ -89,7 +91,7 @@
         contents : dict of str to stores.client.Contents
             By store; one that does not answer is left out.
         """
-        pools = max(self._roster.count_pools(), 1)
+        pools = max(self._roster.count_target_shards(), 1)
         rooms = {name: found.room // pools for name, found in contents.items()}
         actions = []
         for pool, kept in self.keepers.items():
@@ -126,7 +128,9 @@
         """Tell whether a target has work of this box's schedulers."""
         for owned in self.schedulers.values():
             known = owned.targets.get(target)
-            if known is not None and (known.flights or known.report is None):
+            if known is not None and (
+                known.active_grants or known.report is None
+            ):
                 return True
         return False
 
@@ -142,7 +146,7 @@
         owned = self.schedulers.get(done.pool)
         if owned is None:
             return []
-        flight = owned.flights.get(done.grant)
+        flight = owned.active_grants.get(done.grant)
         actions = owned.finish(done, now)
         if done.outcome != 'ok' or flight is None:
             return actions
@@ -236,7 +240,7 @@
         # Another box gives the orders now; if the turn comes back, this
         # one waits like any successor.
         self.holders.pop(pool, None)
-        idle = not owned.flights and not owned.count_waiting()
+        idle = not owned.active_grants and not owned.count_waiting()
         if idle and now - owned.started > IDLE_S:
             del self.schedulers[pool]
             del self._rollouts[pool]
--- a/landingspool/decisions/roster.py
+++ b/landingspool/decisions/roster.py
@@ -109,7 +109,7 @@
             )
         return self._owned
 
-    def count_pools(self):
+    def count_target_shards(self):
         """Give the number of shards that share the stores."""
         return sum(
             len(self.list_shards(model, domain))
--- a/landingspool/decisions/scheduler.py
+++ b/landingspool/decisions/scheduler.py
@@ -60,7 +60,7 @@
         self.targets = {}
         self.queue = fairness.FairQueue(policy.charge)
         self.directory = directory.Directory()
-        self.flights = {}
+        self.active_grants = {}
         self.rooms = {}
         self.rng = random.Random(f'{policy.seed}/{box}/{model}')
         self.turn = routing.Turn(self.rng.random())
@@ -76,7 +76,7 @@
 
         Returns
         -------
-        list of Note
+        list of TimelineEvent
         """
         notes = []
         for member in members:
@@ -86,7 +86,7 @@
             target.member = member
             if member.leaving and target.mark_leaving(member.incarnation):
                 fields = {'target': member.name, 'source': 'live_list'}
-                notes.append(outputs.Note('leaving', fields))
+                notes.append(outputs.TimelineEvent('leaving', fields))
         known = {member.name for member in members}
         for name in [n for n in self.targets if n not in known]:
             del self.targets[name]
@@ -145,7 +145,7 @@
 
     def finish(self, done, now):
         """Take a place back and learn from what it cost."""
-        flight = self.flights.pop(done.grant, None)
+        flight = self.active_grants.pop(done.grant, None)
         if flight is None:
             return []
         self._by_request.pop(done.request, None)
@@ -170,7 +170,7 @@
         if row is not None:
             self.queue.remove(row.work.workspace, request)
 
-    def adopt(self, announce, share_of, now):
+    def adopt(self, announce, get_share, now):
         """Take in what an entry box holds and waits for.
 
         This is how a scheduler that has just begun gets its state, and how
@@ -180,23 +180,23 @@
         lease = self.policy.grant_lease_s
         unknown = 0
         for grant in announce.renewed:
-            flight = self.flights.get(grant)
+            flight = self.active_grants.get(grant)
             if flight is None:
                 unknown += 1
             else:
                 self._set_flight(flight._replace(until=now + lease))
         for held in announce.held:
-            if held.grant not in self.flights:
+            if held.grant not in self.active_grants:
                 self._adopt_grant(held, now)
         for work in announce.waiting:
             if not self._knows(work.request):
-                self.queue.push(work, share_of(work.workspace))
+                self.queue.push(work, get_share(work.workspace))
                 row = records.Waiting(work, now - work.waited, now + work.left)
                 self._waiting[work.request] = row
         return unknown
 
     def report(self, report, now):
-        """Take in a load report; returns a list of Note."""
+        """Take in a load report; returns a list of TimelineEvent."""
         target = self.targets.get(report.target)
         if target is None:
             return []
@@ -207,7 +207,7 @@
             self.directory.forget_target(report.target)
         if target.is_leaving() and not leaving:
             fields = {'target': report.target, 'source': 'report'}
-            return [outputs.Note('leaving', fields)]
+            return [outputs.TimelineEvent('leaving', fields)]
         return []
 
     def resume(self, seconds, now):
@@ -217,11 +217,11 @@
         boxes may have renewed their grants meanwhile.
         """
         self._lack.resume(now)
-        for flight in list(self.flights.values()):
+        for flight in list(self.active_grants.values()):
             until = flight.until + seconds
             self._set_flight(flight._replace(until=until))
 
-    def take_events(self, name, events, gap):
+    def apply_cache_events(self, name, events, gap):
         """Take in cache events of a target; a gap makes all doubtful."""
         if gap:
             self.directory.record_gap(name)
@@ -236,7 +236,7 @@
 
         Returns
         -------
-        tuple of (list of Send, list of Note)
+        tuple of (list of Send, list of TimelineEvent)
         """
         # A slow link is tried again bit by bit: nobody would fetch over it,
         # and so nobody would learn that it has become fast.
@@ -270,7 +270,7 @@
     def _repeat(self, work):
         # The answer to an Ask was lost with its link: the same grant is
         # sent again, never a second one.
-        flight = self.flights[self._by_request[work.request]]
+        flight = self.active_grants[self._by_request[work.request]]
         if flight.message is None:
             return []
         return [outputs.Send(work.entry, flight.message)]
@@ -389,7 +389,7 @@
             view.cached,
             work.offset,
         )
-        flight = pool.Flight(
+        flight = pool.ActiveGrant(
             grant,
             work,
             view.target,
@@ -405,14 +405,14 @@
         return outputs.Send(work.entry, message)
 
     def _set_flight(self, flight):
-        self.flights[flight.grant] = flight
+        self.active_grants[flight.grant] = flight
         self._by_request[flight.work.request] = flight.grant
         if flight.target in self.targets:
             self.targets[flight.target].add_flight(flight)
 
     def _adopt_grant(self, held, now):
         charged = self.queue.reserve(held.work.workspace, 0)
-        flight = pool.Flight(
+        flight = pool.ActiveGrant(
             held.grant,
             held.work,
             held.target,
@@ -460,17 +460,17 @@
 
     def _lapse(self, now):
         notes = []
-        for flight in list(self.flights.values()):
+        for flight in list(self.active_grants.values()):
             if now < flight.until:
                 continue
-            self.flights.pop(flight.grant)
+            self.active_grants.pop(flight.grant)
             self._by_request.pop(flight.work.request, None)
             self.queue.settle(flight.work.workspace, flight.charged, 0, 0)
             target = self.targets.get(flight.target)
             if target is not None:
                 target.end_flight(flight.grant, now)
             fields = {'request': flight.work.request, 'target': flight.target}
-            notes.append(outputs.Note('lapsed', fields))
+            notes.append(outputs.TimelineEvent('lapsed', fields))
         return notes
 
     def _end_well(self, target, flight, done, now):
--- a/landingspool/decisions/timing.py
+++ b/landingspool/decisions/timing.py
@@ -26,10 +26,10 @@
     return now - last
 
 
-class Beat:
+class Heartbeat:
     """The last time at which the timer is known to have run.
 
-    >>> beat = Beat()
+    >>> beat = Heartbeat()
     >>> beat.record(10.0)
     >>> beat.is_fresh(10.2), beat.is_fresh(14.0)
     (True, False)
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -9,7 +9,7 @@
 from landingspool.gateway import outcomes
 from landingspool.gateway import stream as stream_module
 from landingspool.gateway import upstream as upstream_module
-from landingspool import patience
+from landingspool import timeouts
 from landingspool.platform import answers
 from landingspool.platform import egress
 
@@ -34,7 +34,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `view`, `upstream`, `prober`, `beat`, `recorder`,
+        The box's parts: `view`, `upstream`, `prober`, `heartbeat`, `recorder`,
         `metrics`, `clock`, `timer`.
     progress : progress.Progress
         The request; the try writes down what it did to it.
@@ -56,9 +56,9 @@
             self._exchange = await self._hub.upstream.open(
                 self._plan.entry.address,
                 routes.may_repeat(self._progress.work.route),
-                self._view.find_kept(self._progress.work.service),
+                self._view.get_connection_limit(self._progress.work.service),
             )
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             reason = str(error)
             self._hub.prober.record_failed(self._plan.entry.name, reason)
             return outcomes.Unreached(reason)
@@ -73,7 +73,7 @@
         now = self._hub.clock()
         return (
             self._hub.timer.ran_since(self._planned)
-            and self._hub.beat.is_fresh(now)
+            and self._hub.heartbeat.is_fresh(now)
             and is_proved(self._view, now)
             and self._view.may_send(self._plan.entry, self._progress.work, now)
             and not self._find_bar(now)
@@ -183,11 +183,11 @@
     async def _receive(self):
         """Read the answer under the request's time; gives the outcome."""
         try:
-            async with patience.Limit(self._find_patience()):
+            async with timeouts.Timeout(self._find_patience()):
                 head = await self._exchange.read_head()
         except TimeoutError:
             return self._lose('silent', outcomes.Cause.SILENT)
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             return self._lose_broken(error)
         self._record_version(head.version)
         self._record_words(head)
@@ -198,14 +198,14 @@
                 'not the answer to this request', outcomes.Cause.MALFORMED
             )
         try:
-            async with patience.Limit(self._find_left()):
+            async with timeouts.Timeout(self._find_left()):
                 if is_success(head):
                     return await self._pass_on(head)
                 return await self._take_failure(head)
         except TimeoutError:
             # The caller's time is over; that tells nothing of the target.
             return outcomes.Lost('time_over', outcomes.Cause.TIME_OVER)
-        except upstream_module.Broken as error:
+        except upstream_module.ExchangeError as error:
             return self._lose_broken(error)
         except stream_module.Endless as error:
             return self._lose(str(error), outcomes.Cause.MALFORMED)
@@ -236,11 +236,11 @@
             # Who asks for less and turns away what is more is not sick.
             self._note_loss(certain=True)
         try:
-            async with patience.Limit(REJECTION_S):
+            async with timeouts.Timeout(REJECTION_S):
                 while await self._exchange.read_data():
                     pass
                 self._exchange.release()
-        except (TimeoutError, upstream_module.Broken):
+        except (TimeoutError, upstream_module.ExchangeError):
             self._exchange.abort()
         return outcomes.Rejected(head)
 
@@ -249,7 +249,7 @@
         while data := await self._exchange.read_data():
             body += data
         self._exchange.release()
-        wait = self._hub.timer.measure_run(self._sent)
+        wait = self._hub.timer.measure_running_s(self._sent)
         # Who asks for rest is short of room, and has said for how long.
         failed = head.status >= 500 and not head.words.asks_rest
         self._view.record_answer(self._plan, wait, failed)
@@ -289,13 +289,13 @@
         pause = STREAM_PAUSE_S if self._progress.may_send_again() else None
         while True:
             try:
-                async with patience.Limit(pause):
+                async with timeouts.Timeout(pause):
                     data = await self._exchange.read_data()
             except TimeoutError:
                 return self._lose('paused', outcomes.Cause.PAUSED)
             if not data:
                 break
-            self._view.loads.record_heard(name, self._hub.clock())
+            self._view.loads.record_received(name, self._hub.clock())
             self._record_version(await stream.take(data))
             if stream.events and not stream.noted:
                 stream.noted = True
@@ -342,7 +342,7 @@
     def _record_first(self):
         now = self._hub.clock()
         self._view.record_first(self._plan, self._progress.work, now)
-        wait_s = self._hub.timer.measure_run(self._sent)
+        wait_s = self._hub.timer.measure_running_s(self._sent)
         self._view.record_answer(self._plan, wait_s, False)
         self._progress.record_first(now)
 
@@ -398,7 +398,7 @@
     return {
         'target': plan.entry.name,
         'expected_s': round(plan.expected_s, 4),
-        'kept': plan.kept,
+        'kept': plan.cached,
         'fetched': plan.transfer.tokens,
         'read': plan.read_tokens,
         'saved': sum(1 for address in plan.transfer.save if address),
--- a/landingspool/gateway/figures.py
+++ b/landingspool/gateway/figures.py
@@ -123,7 +123,7 @@
         for name, age_s in ages_s.items():
             self.leaving_ages.labels(name).set(age_s)
 
-    def record_resting(self, left_s):
+    def record_backoffs(self, left_s):
         """Note which targets have asked this box for rest.
 
         Parameters
--- a/landingspool/gateway/following.py
+++ b/landingspool/gateway/following.py
@@ -115,13 +115,13 @@
 
     async def _wait(self, reading):
         """Wait for a read; None where this process stood still meanwhile."""
-        resumed = asyncio.ensure_future(self._hub.resumption.wait_begun())
+        resumed = asyncio.ensure_future(self._hub.resumption.wait_for_stall())
         try:
             await asyncio.wait(
                 {reading, resumed}, return_when=asyncio.FIRST_COMPLETED
             )
             # What has arrived meanwhile is read first.
-            await asyncio.wait({reading}, timeout=resumption.ARRIVED_S)
+            await asyncio.wait({reading}, timeout=resumption.PENDING_INPUT_S)
             return reading.result() if reading.done() else None
         finally:
             reading.cancel()
--- a/landingspool/gateway/heads.py
+++ b/landingspool/gateway/heads.py
@@ -11,7 +11,7 @@
 import h11
 
 from landingspool import http
-from landingspool import patience
+from landingspool import timeouts
 
 END = b'\r\n\r\n'
 # A line feed without a carriage return, or the reverse.
@@ -153,7 +153,7 @@
     http.BadRequest
     """
     try:
-        async with patience.Limit(limits.idle_s):
+        async with timeouts.Timeout(limits.idle_s):
             first = await wire.read()
     except TimeoutError:
         return None
@@ -161,12 +161,12 @@
         return None
     wire.unread(first)
     try:
-        async with patience.Limit(limits.header_s):
+        async with timeouts.Timeout(limits.header_s):
             data = await read_head(wire, limits.header_bytes)
         if data is None:
             return None
         conn, request = parse_head(data)
-        async with patience.Limit(limits.header_s):
+        async with timeouts.Timeout(limits.header_s):
             body = await read_body(wire, conn, limits.body_bytes)
     except TimeoutError:
         raise http.BadRequest(408, 'the request took too long') from None
--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/hearing.py
@@ -83,7 +83,7 @@
         leaving = marks.take_all(self._leaving.fresh)
         if not limits and not leaving:
             return
-        lives = self._hub.view.fleet.list_lives()
+        lives = self._hub.view.fleet.list_incarnations()
         names = {peer_digests.hash_target(name): name for name in lives}
         self._look_at_limits(limits, names)
         self._look_at_leaving(leaving, names)
@@ -138,7 +138,7 @@
         }
         self._hub.metrics.record_limits(named, used, now)
         self._hub.metrics.record_leaving(self.list_leaving(now))
-        self._hub.metrics.record_resting(self._rests.list_backoffs(now))
+        self._hub.metrics.record_backoffs(self._rests.list_backoffs(now))
 
     def list_leaving(self, now):
         """Give the seconds since listed targets said that they leave."""
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -32,7 +32,7 @@
 from landingspool.platform import runners
 from landingspool.platform import store
 from landingspool import timer as timer_module
-from landingspool import uptime
+from landingspool import boot_clock
 
 # Period of the beat by which a freeze is noticed, seconds.
 BEAT_S = 0.1
@@ -68,7 +68,7 @@
         Of the choices that are left to chance.
     """
 
-    def __init__(self, place, seed, clock=uptime.read, wall=time.time):
+    def __init__(self, place, seed, clock=boot_clock.read, wall=time.time):
         self.place = place
         self.clock = clock
         self.wall = wall
@@ -80,7 +80,7 @@
         self.view = view_module.View(
             place.domain, place.bounds, seed, place.regions
         )
-        self.beat = timing.Beat()
+        self.heartbeat = timing.Heartbeat()
         self.client = httpclient.Client()
         self.store = store.Store(self.client, place.store, clock)
         self.hearing = hearing.Hearing(self)
@@ -171,13 +171,13 @@
     def _resume(self, stall):
         """Go on after a time in which this process did not run."""
         self.recorder.record('frozen', seconds=round(stall.seconds, 2))
-        self.beat.record(stall.now)
+        self.heartbeat.record(stall.now)
         stalls.exclude_stall(self.view, stall.seconds, stall.now)
         self.sources.exclude_stall(stall.seconds)
         self.resumption.begin(stall)
 
     def _on_beat(self, tick):
-        self.beat.record(tick.now)
+        self.heartbeat.record(tick.now)
         for name in self.view.fleet.tick(tick.now):
             self.recorder.record('target_down', target=name, sure=True)
             self.view.record_over(name, tick.now)
@@ -191,7 +191,7 @@
         self.metrics.record_targets(
             len(bars.cold_targets.list_cold(tick.now)),
             bars.evacuation.describe(tick.now),
-            self.view.partition.is_on,
+            self.view.engine_split.is_on,
         )
         self.metrics.barred.set(
             len(self.view.endings.list_quarantined(tick.now))
@@ -218,8 +218,8 @@
         """Give the tokens and the age of what is known of each store."""
         table = self.view.table
         found = {}
-        for address in table.keepers if table is not None else ():
-            index = self.view.warmth.get(address)
+        for address in table.context_stores if table is not None else ():
+            index = self.view.context_index.get(address)
             if index is not None:
                 age_s = round(now - index.confirmed, 2)
                 found[address] = [index.used, age_s]
--- a/landingspool/gateway/marks.py
+++ b/landingspool/gateway/marks.py
@@ -94,7 +94,7 @@
     def _record_barred(self, fingerprint):
         now = self._hub.clock()
         words = self._endings.list_notices(fingerprint, now)
-        lives = self._hub.view.fleet.list_lives()
+        lives = self._hub.view.fleet.list_incarnations()
         found = {peer_digests.hash_target(name): name for name in lives}
         self._hub.recorder.record(
             'barred',
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -30,13 +30,13 @@
 
     Attributes
     ----------
-    watch : rollouts.Watch
+    watch : rollouts.ClaimWatch
         Told of every claim that is read.
     """
 
     def __init__(self, hub):
         self._hub = hub
-        self.watch = rollouts.Watch(hub.place.bounds.lease_s)
+        self.watch = rollouts.ClaimWatch(hub.place.bounds.lease_s)
         self._lease = None
         self._told = ()
         # Since when the right is wanted and nobody holds it.
@@ -66,7 +66,7 @@
         for model, named in view.weights.named.items():
             targets = {
                 entry.name: view.fleet.get_version(entry.name, model) or 0
-                for entry in view.list_ordered(model)
+                for entry in view.list_loadable(model)
             }
             if rollouts.is_needed(named.version, targets):
                 rows.append((model, named.version, targets))
@@ -89,7 +89,7 @@
         if self._free_since is None:
             self._free_since = now
         place = self._hub.peering.find_place(CLAIM_KEY)
-        return now - self._free_since >= rollouts.find_turn(place)
+        return now - self._free_since >= rollouts.compute_claim_delay(place)
 
     async def _hold(self, loading):
         """Make the claim good; tells whether orders may be given.
@@ -99,7 +99,7 @@
         """
         now = self._hub.clock()
         held = rollouts.is_held(self._lease, now)
-        young = held and rollouts.is_young(self._lease, now)
+        young = held and rollouts.is_recent(self._lease, now)
         if young and tuple(loading) == self._told:
             return True
         if not await self._claim(loading):
@@ -140,11 +140,11 @@
         for model, version, targets in behind:
             rollout = self._rollouts.setdefault(model, rollouts.Rollout())
             left = [
-                self._hub.view.find_time_left(name, model, now)
+                self._hub.view.get_time_left(name, model, now)
                 for name, has in targets.items()
                 if has < version
             ]
-            most = rollouts.find_room(len(targets), left)
+            most = rollouts.compute_concurrency(len(targets), left)
             for order in rollout.plan(model, version, targets, most, now):
                 rollout.record(order, now, rollouts.PREPARING)
                 orders.append(order)
@@ -204,7 +204,7 @@
     async def _send(self, entry, order, report):
         if not rollouts.is_held(self._lease, self._hub.clock()):
             return rollouts.REFUSED
-        if not self._hub.beat.is_fresh(self._hub.clock()):
+        if not self._hub.heartbeat.is_fresh(self._hub.clock()):
             return rollouts.REFUSED
         if not self._hub.view.may_call(entry.name, self._hub.clock()):
             # It may have said so since the order was planned.
@@ -243,7 +243,7 @@
             return runners.Unanswered('it wants no calls', False)
         report = await self._hub.runners.report(entry.address)
         if isinstance(report, runners.Report):
-            if report.is_other_life(fleet.read_life(entry.name)):
+            if report.is_other_life(fleet.parse_incarnation(entry.name)):
                 return runners.Unanswered('it has started again', True)
             version = report.versions.get(order.model)
             if version is not None:
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -191,7 +191,7 @@
         # is only not heard spends its part all the same.
         view.boxes = max(view.boxes, len(self.peers) + 1)
         domains = [peer.domain for peer in self.peers.values()]
-        view.others = dict(collections.Counter(domains))
+        view.peers_by_domain = dict(collections.Counter(domains))
         if self._registry.was_read:
             # Without the list a box may believe that it is one of few.
             view.bars.shares.set_members(
@@ -262,7 +262,7 @@
 
     def _get_proof_age(self):
         proof, now = self._hub.view.proof, self._hub.clock()
-        return round(proof.age_to_tell(now), 3)
+        return round(proof.age_to_send(now), 3)
 
     def _take(self, message, address):
         HANDLERS[type(message)](self, message, http.Address(*address))
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -61,9 +61,9 @@
         known = name in view.reach.list_failed()
         try:
             await self._hub.upstream.probe(
-                entry.address, view.find_kept(entry.service)
+                entry.address, view.get_connection_limit(entry.service)
             )
-        except upstream.Broken as error:
+        except upstream.ExchangeError as error:
             if name in view.fleet.entries:
                 self.record_failed(name, str(error))
             return
--- a/landingspool/gateway/registry.py
+++ b/landingspool/gateway/registry.py
@@ -22,7 +22,7 @@
 # tell of new boxes within a second.  Where there are more boxes than so many
 # it is longer, so that all together ask no more often.
 BOXES_S = 30.0
-USUAL_BOXES = 8
+MIN_BOXES = 8
 # Seconds from this box's entry to the second reading of the list where the
 # whole system starts: all boxes start within 0.3 s, and the store takes the
 # entries of 195 of them one after the other, in 0.4 s.
@@ -90,7 +90,7 @@
 
     def _find_period(self):
         boxes = len(self._peers) + 1
-        return BOXES_S * max(boxes / USUAL_BOXES, 1.0)
+        return BOXES_S * max(boxes / MIN_BOXES, 1.0)
 
     async def leave(self):
         """Make it known that this box stops."""
--- a/landingspool/gateway/relay.py
+++ b/landingspool/gateway/relay.py
@@ -80,7 +80,7 @@
         route = self._find_route()
         if route is None:
             return await self._deny(404, 'no_route')
-        tenancy, passes = routes.find_tenancy(table, route, self._call.key)
+        tenancy, passes = routes.get_tenancy(table, route, self._call.key)
         if not passes:
             return await self._deny(401, 'unknown_key')
         if not proved:
@@ -111,7 +111,7 @@
             if plan is None:
                 lack = self._view.find_lack(progress.work, now)
                 return await self._defer(lack, now)
-            if plan.is_scarce and not progress.sends:
+            if plan.all_limited and not progress.sends:
                 if not self._view.room.take(
                     progress.work, self._view.table, now
                 ):
@@ -155,11 +155,11 @@
         route = self._find_route()
         if route is None:
             return False
-        return routes.find_tenancy(self._view.table, route, self._call.key)[1]
+        return routes.get_tenancy(self._view.table, route, self._call.key)[1]
 
     def _find_route(self):
         call = self._call
-        return routes.find_route(self._view.table, call.host, call.target)
+        return routes.match_route(self._view.table, call.host, call.target)
 
     async def _judge_unreached(self, outcome):
         self._progress.connects += 1
@@ -175,7 +175,7 @@
         if self._progress.has_sends_left() and self._take_repeat():
             return None
         work, now = self._progress.work, self._hub.clock()
-        if self._view.has_open(work, now):
+        if self._view.has_available(work, now):
             return await self._give_up('rejected')
         return await self._defer(self._view.find_lack(work, now), now)
 
@@ -248,7 +248,7 @@
 
     async def _turn_away(self):
         wait_s = self._plan.wait_s
-        after = admission.find_retry_after(
+        after = admission.compute_retry_after(
             wait_s, self._plan.pressure, self._view.rng
         )
         await self._reply.send_error(503, 'busy', after)
--- a/landingspool/gateway/resumption.py
+++ b/landingspool/gateway/resumption.py
@@ -13,7 +13,7 @@
 # Seconds after a standstill for which the lack of a proof is put down to it.
 RENEWAL_S = 0.5
 # Seconds for which what has arrived meanwhile is read, before all else.
-ARRIVED_S = 0.02
+PENDING_INPUT_S = 0.02
 # Share of the time aimed at that a request may wait; the rest is for its
 # target, or for the caller to come back.
 HOLD_SHARE = 0.5
@@ -51,11 +51,11 @@
         """
         now = self._hub.timer.look()
         if self._resumed_at is not None:
-            left_s = self._resumed_at + ARRIVED_S - now
+            left_s = self._resumed_at + PENDING_INPUT_S - now
             if left_s > 0:
                 await asyncio.sleep(left_s)
 
-    async def wait_begun(self):
+    async def wait_for_stall(self):
         """Wait until this process has stood still."""
         await self._woken.wait()
 
--- a/landingspool/gateway/upstream.py
+++ b/landingspool/gateway/upstream.py
@@ -12,9 +12,9 @@
 import h11
 
 from landingspool.gateway import wire as wire_module
-from landingspool import patience
+from landingspool import timeouts
 from landingspool.platform import answers
-from landingspool import uptime
+from landingspool import boot_clock
 
 # Seconds to come up: trips of some ms; a target that is gone says nothing,
 # and a request has to be tried elsewhere within its aim (0.3 s and more).
@@ -45,7 +45,7 @@
 MOST_HEAD = 32 * 1024
 
 
-class Broken(Exception):
+class ExchangeError(Exception):
     """The exchange can't go on.
 
     `sent` tells if a byte may have gone out, `silent` if the path to the
@@ -75,7 +75,7 @@
         Counts new connections; anything with ``connections.inc()``.
     """
 
-    def __init__(self, metrics, clock=uptime.read):
+    def __init__(self, metrics, clock=boot_clock.read):
         self._metrics = metrics
         self._clock = clock
         self._idle = collections.defaultdict(collections.deque)
@@ -92,7 +92,7 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
             With `sent` false.
         """
         wire = self._take(address, repeatable)
@@ -105,7 +105,7 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
             Where it does not.
         """
         wire = await self._connect(address)
@@ -169,17 +169,17 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
             With `sent` false, where none comes up in time.
         """
         loop = asyncio.get_running_loop()
         try:
-            async with patience.Limit(CONNECT_S):
+            async with timeouts.Timeout(CONNECT_S):
                 transport, wire = await loop.create_connection(
                     wire_module.Wire, *address
                 )
         except (OSError, TimeoutError) as error:
-            raise Broken(f'connect: {error!r}', False) from error
+            raise ExchangeError(f'connect: {error!r}', False) from error
         watch_peer(transport.get_extra_info('socket'))
         self._metrics.connections.inc()
         return wire
@@ -255,13 +255,13 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
         """
         event = await self._next()
         while isinstance(event, h11.InformationalResponse):
             event = await self._next()
         if not isinstance(event, h11.Response):
-            raise Broken('closed before an answer', True)
+            raise ExchangeError('closed before an answer', True)
         # An answer before the request has left: the rest of the body is
         # still due on this connection, so nothing else may follow on it.
         self._early = not self._wire.is_flushed
@@ -273,14 +273,14 @@
 
         Raises
         ------
-        Broken
+        ExchangeError
         """
         event = await self._next()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return b''
-        raise Broken('the answer was cut off', True)
+        raise ExchangeError('the answer was cut off', True)
 
     @property
     def is_ended(self):
@@ -312,4 +312,4 @@
                 self._conn.receive_data(await self._wire.read())
         except (OSError, h11.ProtocolError) as error:
             silent = isinstance(error, wire_module.PeerSilent)
-            raise Broken(repr(error), True, silent) from error
+            raise ExchangeError(repr(error), True, silent) from error
--- a/landingspool/operators/server.py
+++ b/landingspool/operators/server.py
@@ -57,8 +57,8 @@
         self._log = log
         self._key = settings.key
         self._drain = drain
-        core.relays[messages.Fetch] = follower.answer
-        core.relays[messages.Records] = self._take_records
+        core.message_handlers[messages.Fetch] = follower.answer
+        core.message_handlers[messages.Records] = self._take_records
 
     async def handle(self, request, exchange):
         """Answer one request of an operator or of a scraper."""
@@ -200,7 +200,10 @@
         for target in owned.targets.values():
             targets.append(describe_target(name, target))
     pools = {
-        name: {'waiting': owned.count_waiting(), 'granted': len(owned.flights)}
+        name: {
+            'waiting': owned.count_waiting(),
+            'granted': len(owned.active_grants),
+        }
         for name, owned in sorted(node.pools.schedulers.items())
     }
     return {
@@ -243,7 +246,7 @@
         'version': report.version if report else '',
         'ready': bool(report and report.ready),
         'leaving': target.is_leaving(),
-        'granted': len(target.flights),
+        'granted': len(target.active_grants),
         'slowness': round(target.slowness, 2),
         'breaker': target.breaker.state,
         'checks_fences': target.member.checks_fences,
--- a/landingspool/platform/__main__.py
+++ b/landingspool/platform/__main__.py
@@ -7,10 +7,10 @@
 import sys
 
 from landingspool.gateway import hub as hub_module
-from landingspool import lines
+from landingspool import log_sink
 from landingspool.platform import boot
 from landingspool import settings
-from landingspool import uptime
+from landingspool import boot_clock
 
 BAD_SETTINGS = 2
 
@@ -52,10 +52,10 @@
         print(settings.format_error(error), file=sys.stderr)
     if errors:
         return BAD_SETTINGS
-    lines.configure(place.box)
+    log_sink.configure(place.box)
     # What was imported stays for good and need not be looked at again.
     gc.freeze()
-    uptime.run(serve(place))
+    boot_clock.run(serve(place))
     return 0
 
 
--- a/landingspool/stores/client.py
+++ b/landingspool/stores/client.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from landingspool.decisions import keeper
+from landingspool.decisions import kv_offload
 from landingspool.decisions import records
 from landingspool import http
 
@@ -71,7 +71,7 @@
     block = records.Block(
         row.meta.key, store, row.write, row.length, row.checksum
     )
-    listed = keeper.Listed(
+    listed = kv_offload.Listed(
         block,
         row.meta.workspace,
         row.sealed,
--- a/tests/gateway/test_rest_words.py
+++ b/tests/gateway/test_rest_words.py
@@ -206,7 +206,7 @@
         runner.script, runner.rest = ['shed'], str(REST_S)
         await site.ask(hub, '/stream/a')
         assert not view.may_call('e0', hub.clock())
-        assert [e.name for e in view.list_ordered('m')] == ['e0']
+        assert [e.name for e in view.list_loadable('m')] == ['e0']
         await asyncio.sleep(REST_S + SPREAD_S + MARGIN_S)
         assert view.may_call('e0', hub.clock())
 
--- a/tests/gateway/test_standstill.py
+++ b/tests/gateway/test_standstill.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from landingspool import uptime
+from landingspool import boot_clock
 from tests.gateway import site
 
 # Over the bound for keys (5 s), so that no proof outlasts it.
@@ -30,7 +30,7 @@
         async with site.Site(**kinds) as deployment:
             await test(deployment)
 
-    uptime.run(main())
+    boot_clock.run(main())
 
 
 def count_ran(deployment):
@@ -142,6 +142,6 @@
         assert [a.status for a in answers] == [200] * len(works)
         for entry in hub.view.fleet.entries.values():
             assert hub.view.get_health(entry.name).wait_s < STANDSTILL_S / 2
-        assert hub.view.lateness.measure('engine', hub.clock()) < 1.0
+        assert hub.view.latency.measure('engine', hub.clock()) < 1.0
 
     run(check)
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -43,9 +43,9 @@
     async def main():
         async with site.Site(plain=1) as deployment:
             hub = await deployment.start_box()
-            real = hub.beat.is_fresh
+            real = hub.heartbeat.is_fresh
             answers = [False, True]
-            hub.beat.is_fresh = lambda now: answers.pop(0) and real(now)
+            hub.heartbeat.is_fresh = lambda now: answers.pop(0) and real(now)
             got = await site.ask(hub, '/unsafe/a')
             (runner,) = deployment.plain
             assert got.status == 200
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -44,7 +44,7 @@
         for domain, borrow in tick(limiters, name, now):
             lend = limiters[domain].lend(borrow, LIMIT, DOMAINS, now)
             if lend is not None:
-                limiters[name].borrowed(lend, now)
+                limiters[name].accept_loan(lend, now)
 
 
 def test_domain_uses_its_floor_and_no_more():
@@ -81,7 +81,7 @@
     lend = limiters['b'].lend(asks['b'], LIMIT, DOMAINS, 0.3)
     reserve(limiters['a'], 'more', 8.0)
     tick(limiters, 'a', 8.0)
-    limiters['a'].borrowed(lend, 8.1)
+    limiters['a'].accept_loan(lend, 8.1)
     free = 0.3 + limiter.TERM_S + limiter.LENDER_MARGIN_S + 0.1
     assert sum_allotments(limiters, free) <= LIMIT
 
@@ -93,7 +93,7 @@
     asks = dict(tick(limiters, 'a', 100.3))
     lend = limiters['b'].lend(asks['b'], LIMIT, DOMAINS, 5.0)
     fresh = limiter.Limiter('a', 'a-1', random.Random(2))
-    fresh.borrowed(lend, 1.0)
+    fresh.accept_loan(lend, 1.0)
     assert fresh.get_allotment('w', LIMIT, DOMAINS, 1.0) == 3
 
 
@@ -148,7 +148,7 @@
         to, message = self.flying.pop(index % len(self.flying))
         owned = self.limiters[to]
         if hasattr(message, 'term'):
-            owned.borrowed(message, self.now)
+            owned.accept_loan(message, self.now)
             return
         lend = owned.lend(message, LIMIT, DOMAINS, self.now)
         if lend is not None:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -52,7 +52,7 @@
     grant = get_grant(owned.ask(work, examples.SHARE, 0.0))
     finish(owned, work, grant, 0.5)
     key = identity.add_version(work.pieces[1], 'v1')
-    owned.take_events('t1', [Event(1, 'removed', key)], gap=False)
+    owned.apply_cache_events('t1', [Event(1, 'removed', key)], gap=False)
     again = examples.make_work('r1.2')
     second = get_grant(owned.ask(again, examples.SHARE, 1.0))
     assert second.cached == identity.PIECE_TOKENS
@@ -63,7 +63,7 @@
     work = examples.make_work('r1.1')
     grant = get_grant(owned.ask(work, examples.SHARE, 0.0))
     finish(owned, work, grant, 0.5)
-    owned.take_events('t1', [], gap=True)
+    owned.apply_cache_events('t1', [], gap=True)
     again = examples.make_work('r1.2')
     assert get_grant(owned.ask(again, examples.SHARE, 1.0)).cached == 0
 
@@ -84,7 +84,7 @@
     first = get_grant(owned.ask(work, examples.SHARE, 0.0))
     second = get_grant(owned.ask(work, examples.SHARE, 0.5))
     assert first == second
-    assert len(owned.flights) == 1
+    assert len(owned.active_grants) == 1
 
 
 def test_places_of_a_target_are_never_exceeded():
@@ -104,7 +104,7 @@
     owned.report(examples.make_report('t1'), 6.0)
     _, notes = owned.tick(6.0)
     assert [record.event for record in notes] == ['lapsed']
-    assert owned.flights == {}
+    assert owned.active_grants == {}
 
 
 def test_request_that_can_not_make_its_deadline_is_refused_at_once():
--- a/tests/virtual/stories.py
+++ b/tests/virtual/stories.py
@@ -267,7 +267,7 @@
 
     def has_grant():
         box = world.processes['north-0'].thing
-        cases = box.node.entry._cases.values()
+        cases = box.node.entry._tracked.values()
         return any(c.grant and c.grant.target == 'e00' for c in cases)
 
     assert world.run_until(has_grant, world.now + 5.0)
