--- a/landingspool/decisions/gateway/loads.py
+++ b/landingspool/decisions/gateway/loads.py
@@ -97,7 +97,7 @@
         Parameters
         ----------
         peer_load : tuple of float
-            Requests of other boxes there, as neighbours.Neighbours.get_load.
+            Requests of other boxes there, as neighbours.PeerDigests.get_load.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
--- /dev/null
+++ b/landingspool/decisions/gateway/peer_digests.py
@@ -0,0 +1,288 @@
+"""Sums up the load that peers put on targets, from their digests.
+
+Each box sends its peers a digest a few times a second: what it has sent to
+which target.  A lost digest is replaced by the next one, so datagrams suffice.
+If there are many boxes each sends it only to some, and the digests received
+stand for the others.
+"""
+
+import functools
+import typing
+
+import xxhash
+
+# Seconds for which a digest counts: several periods, so that one lost datagram
+# does not make a busy target look idle.
+FRESH_S = 1.0
+# Seconds for which the sums over all digests are cached.
+SUM_CACHE_S = FRESH_S / 10
+# Peers that one digest is sent to: with 85 boxes each then receives three in
+# four of the digests within the time for which they count, at 18 KB/s.
+FAN_OUT = 24
+# Of these, peers in the same domain: traffic between domains is expensive, and
+# the load from near boxes resembles that from any others.
+FAN_OUT_NEAR = 18
+# Stands for the target in the notice that a request was answered completely.
+NO_INCARNATION = 0
+# Load of a target that is in no digest.
+NO_LOAD = 0, 0, 0, 0
+
+
+class CrashNotice(typing.NamedTuple):
+    """One target that crashed under a request.
+
+    Attributes
+    ----------
+    fingerprint : bytes
+        Of the request.
+    life : int
+        Hash of the crashed incarnation's name (hash_target); NO_INCARNATION:
+        the request was answered completely.
+    age_ms : int
+        Milliseconds since then.
+    """
+
+    fingerprint: bytes
+    life: int
+    age_ms: int
+
+
+class LimitNotice(typing.NamedTuple):
+    """The limit that a target advertises.
+
+    Attributes
+    ----------
+    life : int
+        Hash of the incarnation's name (hash_target).
+    per_s : float
+        Requests a second from all boxes; 0: it advertises no limit any more.
+    asked_ms, heard_ms : int
+        Milliseconds since the request was sent, and since its answer was
+        received.
+    """
+
+    life: int
+    per_s: float
+    asked_ms: int
+    heard_ms: int
+
+
+class LeavingNotice(typing.NamedTuple):
+    """A target that has announced that it is leaving.
+
+    Attributes
+    ----------
+    life : int
+        Hash of the incarnation's name (hash_target).
+    age_ms : int
+        Milliseconds since the announcement.
+    """
+
+    life: int
+    age_ms: int
+
+
+class Digest(typing.NamedTuple):
+    """What one box has under way.
+
+    Attributes
+    ----------
+    number : int
+        Increases with each digest of a box.
+    loads : dict of int to list
+        For each target, by its hash: the prompt tokens waiting there, the
+        requests running, the tokens that all of them hold, the requests
+        waiting.
+    unreached : tuple of str
+        Targets to which the box can't connect.
+    rooms : dict of str to tuple of int
+        For each store that it counted, the incarnation and the tokens used.
+    link_mbps : float
+        Capacity of its link, Mbit/s.
+    endings : tuple of CrashNotice
+        Targets that crashed under requests, as seen or received by the box.
+    limits : tuple of LimitNotice
+        Limits that targets advertise, likewise.
+    leaving : tuple of LeavingNotice
+        Targets that have announced that they are leaving, likewise.
+    """
+
+    box: str
+    domain: str
+    number: int
+    loads: dict
+    unreached: tuple[str, ...] = ()
+    rooms: dict[str, tuple[int, int]] = {}
+    link_mbps: float = 0.0
+    endings: tuple[CrashNotice, ...] = ()
+    limits: tuple[LimitNotice, ...] = ()
+    leaving: tuple[LeavingNotice, ...] = ()
+
+
+class Ask(typing.NamedTuple):
+    """Asks a box how fresh its table is."""
+
+    box: str
+    number: int
+
+
+class Tell(typing.NamedTuple):
+    """Answers an Ask, with its number."""
+
+    box: str
+    number: int
+    table: int
+    proof_s: float
+
+
+class Received(typing.NamedTuple):
+    """The newest digest of a box, and when it was received."""
+
+    digest: Digest
+    at: float
+
+    def is_fresh(self, now):
+        """Return whether the digest still counts."""
+        return now - self.at < FRESH_S
+
+
+@functools.lru_cache(maxsize=4096)
+def hash_target(name):
+    """Return the hash by which digests identify a target's incarnation.
+
+    A name takes 14 bytes, or 28 with the incarnation's start, and a digest has
+    some seven of them in 330 bytes.  Traffic between domains is expensive, and
+    digests are nearly all of it (71 boxes: 0.12 GB of 0.15 in a minute).  If
+    two targets had the same hash, which happens once in millions of
+    deployments, each would be assigned the load of both.
+
+    >>> 0 <= hash_target('t') < 2 ** 32
+    True
+    """
+    return xxhash.xxh32_intdigest(name.encode())
+
+
+def hash_loads(loads):
+    """Return the load of a box at each target as digests encode it.
+
+    Parameters
+    ----------
+    loads : dict of str to list
+        By the name of the target's incarnation.
+    """
+    return {hash_target(name): load for name, load in loads.items()}
+
+
+def pick_recipients(near, far, rng):
+    """Pick the boxes that a digest is sent to.
+
+    Parameters
+    ----------
+    near, far : sequence
+        The peers in this domain, and in all others.
+    rng : random.Random
+
+    >>> import random
+    >>> rng = random.Random(1)
+    >>> sorted(pick_recipients('ab', 'cd', rng))
+    ['a', 'b', 'c', 'd']
+    >>> told = pick_recipients(['n'] * 30, ['f'] * 60, rng)
+    >>> told.count('n'), told.count('f')
+    (18, 6)
+    """
+    if len(near) + len(far) <= FAN_OUT:
+        return [*near, *far]
+    some_near = rng.sample(near, min(len(near), FAN_OUT_NEAR))
+    left = FAN_OUT - len(some_near)
+    return some_near + rng.sample(far, min(len(far), left))
+
+
+class PeerDigests:
+    """The newest digests of the other boxes."""
+
+    def __init__(self):
+        self._received = {}
+        self._sums = {}
+        self._sums_boxes = 0
+        self._sums_domains = set()
+        self._summed = None
+
+    def take(self, digest, now):
+        """Store a digest unless a newer one is known."""
+        known = self._received.get(digest.box)
+        if known is not None and known.digest.number >= digest.number:
+            if known.is_fresh(now):
+                # An older digest that arrived out of order.
+                return
+        self._received[digest.box] = Received(digest, now)
+        self._summed = None
+
+    def exclude_stall(self, seconds):
+        """Exclude a stall of this box from the age of digests.
+
+        >>> digests = PeerDigests()
+        >>> digests.take(Digest('b', 'd', 1, {}), 1.0)
+        >>> digests.exclude_stall(6.0)
+        >>> digests.list_fresh_peers(7.5)
+        ['b']
+        """
+        for box, row in self._received.items():
+            self._received[box] = row._replace(at=row.at + seconds)
+        self._summed = None
+
+    def list_fresh_peers(self, now):
+        """List the names of the boxes whose digest is fresh at `now`."""
+        return [
+            box for box, row in self._received.items() if row.is_fresh(now)
+        ]
+
+    def get_load(self, target, counts, now):
+        """Return the load that peers put on a target.
+
+        Parameters
+        ----------
+        counts : dict of str to int
+            Number of peers, by domain.  Peers without a digest count like
+            those with one.  A domain without any digest is partitioned from
+            this box and reaches other targets.
+
+        Returns
+        -------
+        tuple of float
+            As in the digests: tokens waiting, requests running, tokens held,
+            requests waiting.
+
+        >>> digests = PeerDigests()
+        >>> loads = hash_loads({'t': [1, 2, 9, 3]})
+        >>> digests.take(Digest('b', 'd', 1, loads), 1.0)
+        >>> digests.get_load('t', {'d': 1}, 1.5)
+        (1.0, 2.0, 9.0, 3.0)
+        >>> digests.get_load('t', {'d': 2, 'away': 9}, 1.5)
+        (2.0, 4.0, 18.0, 6.0)
+        >>> digests.get_load('t', {'d': 1}, 3.0)
+        (0.0, 0.0, 0.0, 0.0)
+        """
+        self._sum(now)
+        if not self._sums_boxes:
+            return tuple(map(float, NO_LOAD))
+        boxes = sum(counts.get(domain, 0) for domain in self._sums_domains)
+        scale = max(boxes / self._sums_boxes, 1.0)
+        sums = self._sums.get(hash_target(target), NO_LOAD)
+        return tuple(n * scale for n in sums)
+
+    def _sum(self, now):
+        # Computed only every SUM_CACHE_S: digests change some times a second,
+        # and every routing decision reads the load of every target.
+        if self._summed is not None and now - self._summed < SUM_CACHE_S:
+            return
+        sums = {}
+        rows = [row for row in self._received.values() if row.is_fresh(now)]
+        for row in rows:
+            for target, load in row.digest.loads.items():
+                known = sums.get(target, NO_LOAD)
+                pairs = zip(known, load, strict=True)
+                sums[target] = tuple(a + b for a, b in pairs)
+        self._sums = sums
+        self._sums_boxes = len(rows)
+        self._sums_domains = {row.digest.domain for row in rows}
+        self._summed = now
--- a/landingspool/decisions/gateway/routes.py
+++ b/landingspool/decisions/gateway/routes.py
@@ -6,7 +6,7 @@
 
 import typing
 
-from landingspool.decisions.gateway import coldness
+from landingspool.decisions.gateway import cold_targets
 
 SAFE = 'safe'
 UNSAFE = 'unsafe'
@@ -109,7 +109,7 @@
     max_connections: int = 64
     engine: Engine | None = None
     context_store: ContextStore | None = None
-    cold: coldness.Bound = coldness.Bound()
+    cold: cold_targets.Bound = cold_targets.Bound()
 
 
 class Tenancy(typing.NamedTuple):
--- /dev/null
+++ b/landingspool/decisions/gateway/stalls.py
@@ -0,0 +1,24 @@
+"""Excludes the time for which a box stalled from its view of other processes.
+
+Peers were silent only because this box did not read, and what they sent during
+the stall is still to be read.  Times that other processes count, too
+(back-offs, limits, leases, deadlines, the proof of the table), are not
+extended.
+"""
+
+
+def exclude_stall(view, seconds, now):
+    """Exclude a stall of some seconds that ended at `now`.
+
+    Parameters
+    ----------
+    view : view.View
+    seconds : float
+    now : float
+    """
+    view.loads.exclude_stall(seconds)
+    view.neighbours.exclude_stall(seconds)
+    view.watching.exclude_stall(seconds)
+    view.fleet.exclude_stall(seconds)
+    # Peers did not know what this box would send to limited targets.
+    view.bars.shares.restart(now)
--- a/landingspool/decisions/gateway/view.py
+++ b/landingspool/decisions/gateway/view.py
@@ -8,24 +8,24 @@
 import random
 
 from landingspool.decisions.gateway import admission
-from landingspool.decisions.gateway import bars
+from landingspool.decisions.gateway import capacity as capacity_module
 from landingspool.decisions.gateway import choice
 from landingspool.decisions.gateway import context_index as index_module
-from landingspool.decisions.gateway import endings as endings_module
+from landingspool.decisions.gateway import crashes as crashes_module
 from landingspool.decisions.gateway import engine_split as split_module
+from landingspool.decisions.gateway import exclusions
 from landingspool.decisions.gateway import fleet as fleet_module
 from landingspool.decisions.gateway import freshness
 from landingspool.decisions.gateway import health as health_module
 from landingspool.decisions.gateway import latency
 from landingspool.decisions.gateway import loads as loads_module
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import prompts
-from landingspool.decisions.gateway import reach as reach_module
+from landingspool.decisions.gateway import reachability as reachability_module
 from landingspool.decisions.gateway import retry_budget
-from landingspool.decisions.gateway import room as room_module
 from landingspool.decisions.gateway import transfers
-from landingspool.decisions.gateway import watching as watching_module
+from landingspool.decisions.gateway import watchers as watchers_module
 from landingspool.decisions.gateway import weights as weights_module
 
 # Lowest number of boxes that the retry budget is divided by: the deployments
@@ -67,15 +67,15 @@
         self.loads = loads_module.Loads()
         self.latency = latency.LatencyTracker()
         self.weights = weights_module.Weights(bounds.version_s)
-        self.reach = reach_module.Reach()
-        self.watching = watching_module.Watching()
+        self.reach = reachability_module.Reachability()
+        self.watching = watchers_module.Watchers()
         self.engine_split = split_module.EngineSplit()
-        self.bars = bars.Bars(bounds, regions or {}, self.rng)
-        self.room = room_module.Room(self.fleet, self.bars)
+        self.bars = exclusions.Exclusions(bounds, regions or {}, self.rng)
+        self.room = capacity_module.FreeCapacity(self.fleet, self.bars)
         self.context_index = index_module.ContextIndex()
         self.proof = freshness.Proof(bounds.key_s, bounds.keys_fail_closed)
-        self.neighbours = neighbours.Neighbours()
-        self.endings = endings_module.Endings()
+        self.neighbours = peer_digests.PeerDigests()
+        self.endings = crashes_module.Crashes()
         self.boxes = MIN_BOXES
         # Number of other boxes in each domain.
         self.peers_by_domain = {}
@@ -99,7 +99,7 @@
             return state
         if before not in (None, entry.name):
             self.record_over(before, now)
-        self.bars.coldness.record_told(entry.name, entry.cold_s, now)
+        self.bars.cold_targets.record_reported(entry.name, entry.cold_s, now)
         return state
 
     def withdraw_evacuation(self, domain, now):
@@ -130,18 +130,18 @@
         """Return whether a request may be sent to a target now."""
         if entry.name not in self.fleet.entries:
             return False
-        limits = self.bars.find_limits(work, self.table)
-        return self.bars.find_bar(entry, limits, now) is None
+        limits = self.bars.get_requirements(work, self.table)
+        return self.bars.get_exclusion(entry, limits, now) is None
 
     def has_available(self, work, now):
         """Return whether a request's service has a target not excluded."""
-        limits = self.bars.find_limits(work, self.table)
+        limits = self.bars.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
         return bool(self.bars.list_open(entries, limits, now))
 
     def find_lack(self, work, now):
         """Return why no target may get a request."""
-        limits = self.bars.find_limits(work, self.table)
+        limits = self.bars.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
         return self.bars.find_lack(entries, limits, now)
 
@@ -316,8 +316,10 @@
     def take_digest(self, digest, now):
         """Store what another box reports of its requests and of targets."""
         self.neighbours.take(digest, now)
-        for name in self.watching.hear(digest.box, digest.unreached, now):
-            self.reach.hasten(name, now)
+        for name in self.watching.receive_report(
+            digest.box, digest.unreached, now
+        ):
+            self.reach.expedite(name, now)
         for name in digest.unreached:
             if name in self.fleet.entries:
                 self._suspect(name, now)
@@ -333,7 +335,9 @@
     def _suspect(self, name, now):
         duty = self.watching.is_duty(name)
         confirm_s = (
-            reach_module.WATCHER_SURE_S if duty else reach_module.SURE_S
+            reachability_module.WATCHER_CONFIRMED_S
+            if duty
+            else reachability_module.CONFIRMED_S
         )
         self.reach.suspect(name, now, confirm_s)
 
@@ -386,7 +390,7 @@
 
     def _list_usable(self, work, avoid, now):
         """Return the entries of the targets that a request may be sent to."""
-        limits = self.bars.find_limits(work, self.table)
+        limits = self.bars.get_requirements(work, self.table)
         known = self.fleet.list_service(work.service)
         known = [entry for entry in known if entry.name not in avoid]
         entries = self.bars.list_open(known, limits, now)
@@ -417,7 +421,7 @@
         )
         load = self.loads.measure(entry.name, peers_by_domain)
         health = self.get_health(entry.name)
-        cold_s = self.bars.coldness.find_left(entry.name, now)
+        cold_s = self.bars.cold_targets.find_left(entry.name, now)
         limited = self.bars.limits.find(entry.name) is not None
         if work.prompt is None:
             return choice.Candidate(
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -6,8 +6,8 @@
 import traceback
 
 from landingspool import boot_clock
-from landingspool.decisions.gateway import absence
 from landingspool.decisions.gateway import routes
+from landingspool.decisions.gateway import stalls
 from landingspool.decisions.gateway import view as view_module
 from landingspool.decisions import timing
 from landingspool import events
@@ -183,7 +183,7 @@
         """Correct what is known for a stall of this process."""
         self.recorder.record('frozen', seconds=round(stall.seconds, 2))
         self.heartbeat.record(stall.now)
-        absence.exclude_stall(self.view, stall.seconds, stall.now)
+        stalls.exclude_stall(self.view, stall.seconds, stall.now)
         self.sources.exclude_stall(stall.seconds)
         self.resumption.begin(stall)
 
@@ -200,12 +200,12 @@
         self.hearing.sweep()
         bars = self.view.bars
         self.metrics.record_targets(
-            len(bars.coldness.list_cold(tick.now)),
+            len(bars.cold_targets.list_cold(tick.now)),
             bars.evacuation.describe(tick.now),
             self.view.engine_split.is_on,
         )
         self.metrics.quarantined.set(
-            len(self.view.endings.list_barred(tick.now))
+            len(self.view.endings.list_quarantined(tick.now))
         )
 
     def _log_metrics(self, tick):
@@ -219,10 +219,10 @@
             open=self.listener.count_busy(),
             proof_s=self.view.proof.age_to_log(tick.now),
             stores=self._describe_stores(tick.now),
-            cold=len(self.view.bars.coldness.list_cold(tick.now)),
+            cold=len(self.view.bars.cold_targets.list_cold(tick.now)),
             evacuated=self.view.bars.evacuation.describe(tick.now),
             leaving=self.hearing.list_leaving(tick.now),
-            resting=self.view.bars.rests.list_resting(tick.now),
+            resting=self.view.bars.backoffs.list_backoffs(tick.now),
         )
 
     def _describe_stores(self, now):
--- a/landingspool/gateway/relay.py
+++ b/landingspool/gateway/relay.py
@@ -11,7 +11,7 @@
 import typing
 
 from landingspool.decisions.gateway import admission
-from landingspool.decisions.gateway import bars
+from landingspool.decisions.gateway import exclusions
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import routes
 from landingspool.gateway import attempts
@@ -102,7 +102,9 @@
             now = self._hub.clock()
             if state.is_expired(now):
                 return await self._give_up('time_over', 504)
-            quarantine = self._view.endings.find_bar(state.fingerprint, now)
+            quarantine = self._view.endings.get_quarantine(
+                state.fingerprint, now
+            )
             if quarantine is not None:
                 return await self._refuse_quarantined(quarantine, now)
             ready = self._hub.upstream.list_ready(
@@ -115,7 +117,7 @@
                 return await self._refuse_excluded(shortage, now)
             if plan.all_limited and not state.sends:
                 if not self._view.room.take(state.work, self._view.table, now):
-                    return await self._refuse_excluded(bars.LIMITED, now)
+                    return await self._refuse_excluded(exclusions.LIMITED, now)
             if not state.sends and not self._view.is_admitted(
                 plan, state.work
             ):
@@ -245,7 +247,7 @@
 
     def _estimate_capacity_return(self, now):
         left_s = self._state.get_time_left(now)
-        return self._view.room.find_return(
+        return self._view.room.compute_retry_after(
             self._state.work, self._view.table, left_s, now
         )
 
@@ -303,9 +305,9 @@
 # Methods that return the Retry-After of a refusal, by why no target may get
 # the request.
 RETRY_AFTER_ESTIMATORS = {
-    bars.LIMITED: Relay._estimate_capacity_return,
-    bars.RESTING: Relay._estimate_capacity_return,
-    bars.LEAVING: Relay._estimate_replacement,
+    exclusions.LIMITED: Relay._estimate_capacity_return,
+    exclusions.BACKING_OFF: Relay._estimate_capacity_return,
+    exclusions.LEAVING: Relay._estimate_replacement,
 }
 OUTCOME_HANDLERS = {
     outcomes.Done: Relay._handle_done,
