--- a/landingspool/gateway/boxcalls.py
+++ b/landingspool/gateway/boxcalls.py
@@ -1,7 +1,7 @@
-"""Calls from one box to another, answered in CBOR.
+"""Send CBOR calls to other boxes and answer theirs.
 
-A box that gives no usable answer is left alone for a time: whoever asks
-has the platform's store to fall back on.
+A box that gives no usable answer is not asked again for some time: the
+caller can read from the platform's store instead.
 """
 
 import cbor2
@@ -9,7 +9,7 @@
 
 from landingspool import http
 
-KIND = 'application/cbor'
+CONTENT_TYPE = 'application/cbor'
 
 
 class NoAnswer(Exception):
@@ -17,10 +17,10 @@
 
 
 async def ask(hub, peer, kind, call, body=None, *, timeout):
-    """Ask a box that this one reads from, and shun it where it fails.
+    """Ask a box that this one reads from, and avoid it if it fails.
 
     Parameters and result are those of `fetch`, with `hub` and a
-    registry.Peer for the client and the address.
+    registry.Peer instead of the client and the address.
     """
     sent = hub.clock()
     try:
@@ -28,21 +28,22 @@
             hub.client, peer.address, kind, call, body, timeout=timeout
         )
     except NoAnswer as error:
-        # Who stood still meanwhile can't tell who was silent.
+        # If this process stalled during the call, the failure says nothing
+        # about the peer.
         if hub.timer.ran_since(sent):
             hub.peering.shun(peer.name, str(error))
         raise
 
 
 async def fetch(client, address, kind, call, body=None, *, timeout):
-    """Ask another box; gives its answer as `kind`.
+    """Ask another box and return its answer as `kind`.
 
     Parameters
     ----------
     client : httpclient.Client
     address : http.Address
     kind : type
-        For msgspec.
+        The type to which msgspec converts the answer.
     call : tuple of str
         Method and path.
 
@@ -62,5 +63,5 @@
 
 
 async def answer(exchange, value):
-    """Answer another box with plain values."""
-    await exchange.send_body(200, cbor2.dumps(value), KIND)
+    """Answer another box with a value of built-in types."""
+    await exchange.send_body(200, cbor2.dumps(value), CONTENT_TYPE)
--- a/landingspool/gateway/cachewatch.py
+++ b/landingspool/gateway/cachewatch.py
@@ -1,12 +1,14 @@
-"""Learns what targets and stores keep, from their cache events.
+"""Track what targets and stores have cached, from their cache events.
+
+Each target and store gets about one call a second.  A call that waits less
+than a fifth of a second costs as much as a probe, and under load there is
+always something new.
 
-One call a second to each: a call that waits less than a fifth of a second
-has the price of a probe, and under load there is always something new.
 In a large fleet two boxes of a domain ask the stores, and the others ask
-these for what is new.  Whole lists they ask of the stores themselves: lists
-are megabytes, and would fill the link of the one box that all others ask.
-Targets are not asked at all there, since all boxes agree on the home of a
-prompt and each target would be asked by every box.
+these two for updates.  Complete lists are read from the stores themselves:
+lists are megabytes, and would fill the link of the one box that all others
+ask.  Targets are not asked at all in a large fleet: all boxes agree on the
+preferred target of a prompt, so each target would be asked by every box.
 """
 
 import asyncio
@@ -20,42 +22,45 @@
 from landingspool.platform import runners
 
 # Pause between two calls to one target, seconds.
-PERIOD_S = 1.0
-# Stores are asked more often: what they hold is offered to requests only
-# shortly after their word.
+TARGET_PERIOD_S = 1.0
+# Pause between two calls to one store, seconds.  Stores are asked more often,
+# since what they hold is offered to requests only shortly after their answer.
 STORE_PERIOD_S = 0.6
-# Seconds for which a call is held where there is nothing new.
+# Seconds for which a call is held if there is nothing new.
 HOLD_S = 0.6
-# Pause after a call that failed, and the least after one that did not,
+# Pause after a call that failed, and the minimum after one that succeeded,
 # seconds.
-FAILED_S = 0.5
-LEAST_PAUSE_S = 0.05
-# Pause before lists that could not be had are asked for again, seconds: a
-# store answers few calls at once, and all boxes may have started together.
-AGAIN_S = 0.1, 0.4
-# Lists that a box that starts reads at once.  One after the other it took 15
-# of them 2 s, while every prompt was read anew (71 boxes that start together).
-LISTS_AT_ONCE = 4
-# What came of asking another box.
+RETRY_PAUSE_S = 0.5
+MIN_PAUSE_S = 0.05
+# Range of the pause before lists that could not be read are requested again,
+# seconds.  A store answers few calls at once, and all boxes may have started
+# together.
+LIST_RETRY_PAUSE_S = 0.1, 0.4
+# Lists that a starting box reads at once.  When 71 boxes start together,
+# reading 15 lists one after the other takes 2 s, during which every prompt is
+# computed from the beginning.
+MAX_CONCURRENT_LISTS = 4
+# Outcomes of asking another box.
 FOLLOWED = 'followed'
 LISTED = 'listed'
 MISSING = 'missing'
-# Boxes up to which every box asks every target.
-MOST_BOXES = 12
+# Number of peers from which on boxes no longer ask targets.
+MAX_PEERS_TO_ASK_TARGETS = 12
 CHANGES_PATH = '/changes'
-# Seconds for the answer of another box.
-ANSWER_S = 0.8
+# Time-out for the answer of another box, seconds.
+ANSWER_TIMEOUT_S = 0.8
 # Characters of a reason that are logged.
-MOST_REASON = 200
-# How often the list of those to be followed is looked through, seconds, and
-# how often before any table is known.  After a start all is cold: in half a
-# second without stores 23,000 to 58,000 tokens were read again (three days).
-LOOK_S = 0.5
-FIRST_LOOK_S = 0.05
+MAX_REASON_CHARS = 200
+# Period at which the list of targets and stores to follow is checked, seconds,
+# and the shorter one before any table is known.  After a start nothing is
+# known to be cached: half a second without stores costs 23,000 to 58,000
+# tokens that are computed again.
+CHECK_PERIOD_S = 0.5
+FIRST_CHECK_PERIOD_S = 0.05
 
 
 class Cachewatch:
-    """Follows every engine and every store of kept context.
+    """Follow the cache events of every engine and every KV cache store.
 
     Parameters
     ----------
@@ -73,108 +78,113 @@
             while True:
                 peer = self._hub.peering.pick_watcher()
                 if peer is None:
-                    wanted = self._list_wanted()
-                    self._adapt(wanted)
-                    await asyncio.sleep(LOOK_S if wanted else FIRST_LOOK_S)
+                    followed = self._list_followed()
+                    self._update_tasks(followed)
+                    await asyncio.sleep(
+                        CHECK_PERIOD_S if followed else FIRST_CHECK_PERIOD_S
+                    )
                 elif self._hub.view.table is None:
-                    await asyncio.sleep(FIRST_LOOK_S)
+                    await asyncio.sleep(FIRST_CHECK_PERIOD_S)
                 else:
-                    self._adapt({})
+                    self._update_tasks({})
                     outcome = await self._ask_peer(peer)
-                    await asyncio.sleep(self._find_pause(outcome))
+                    await asyncio.sleep(self._get_pause(outcome))
         finally:
-            self._adapt({})
+            self._update_tasks({})
 
-    def _list_wanted(self):
-        """Give the address and period of each one to be followed."""
+    def _list_followed(self):
+        """Return the address and period of each one to be followed."""
         table = self._hub.view.table
         if table is None:
             return {}
-        wanted = {}
+        followed = {}
         for address in table.keepers:
-            wanted[address] = boot.parse_address(address), STORE_PERIOD_S
-        if len(self._hub.peering.peers) >= MOST_BOXES:
-            return wanted
+            followed[address] = boot.parse_address(address), STORE_PERIOD_S
+        if len(self._hub.peering.peers) >= MAX_PEERS_TO_ASK_TARGETS:
+            return followed
         for entry in self._hub.view.fleet.entries.values():
             service = table.services.get(entry.service)
             if not self._hub.view.bars.may_call(entry, self._hub.clock()):
                 continue
             if service is not None and service.engine is not None:
-                wanted[entry.name] = entry.address, PERIOD_S
-        return wanted
+                followed[entry.name] = entry.address, TARGET_PERIOD_S
+        return followed
 
-    def _adapt(self, wanted):
-        for name in [name for name in self._tasks if name not in wanted]:
+    def _update_tasks(self, followed):
+        for name in [name for name in self._tasks if name not in followed]:
             self._tasks.pop(name).cancel()
-        for name, (address, period_s) in wanted.items():
+        for name, (address, period_s) in followed.items():
             task = self._tasks.get(name)
             if task is None or task.done():
                 work = self._follow(name, address, period_s)
                 self._tasks[name] = asyncio.ensure_future(work)
 
     async def _follow(self, name, address, period_s):
-        # A box that was told of a store by another one goes on from there.
-        whole = self._hub.view.warmth.get(name) is None
+        # A box that received the state of a store from a peer continues from
+        # there.
+        needs_list = self._hub.view.warmth.get(name) is None
         while True:
             sent = self._hub.clock()
-            if whole:
-                news = await self._hub.runners.read_list(address)
+            if needs_list:
+                updates = await self._hub.runners.read_list(address)
             else:
-                news = await self._read_events(name, address)
+                updates = await self._read_events(name, address)
             now = self._hub.clock()
-            if isinstance(news, runners.Unanswered):
-                await asyncio.sleep(FAILED_S)
+            if isinstance(updates, runners.Unanswered):
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            whole = self._take(name, news, sent, now)
-            # After a list its clock is still missing: no pause.
-            if not whole and not news.whole:
-                pause = max(period_s - (now - sent), LEAST_PAUSE_S)
+            needs_list = self._apply(name, updates, sent, now)
+            # A list doesn't give the store's clock, so events are read at
+            # once after it.
+            if not needs_list and not updates.whole:
+                pause = max(period_s - (now - sent), MIN_PAUSE_S)
                 await asyncio.sleep(pause)
 
-    def _take(self, name, news, sent, now):
-        """Take in news; tells whether the whole list is needed."""
+    def _apply(self, name, updates, sent, now):
+        """Apply updates; return whether the complete list is needed."""
         known = self._hub.view.warmth
         index = known.get(name)
-        again = known.take(name, news, sent, now)
-        if index is None or index.epoch != news.epoch:
+        needs_list = known.take(name, updates, sent, now)
+        if index is None or index.epoch != updates.epoch:
             self._hub.recorder.record(
-                'cache_epoch', target=name, epoch=news.epoch
+                'cache_epoch', target=name, epoch=updates.epoch
             )
-        return again
+        return needs_list
 
     async def _read_events(self, name, address):
         index = self._hub.view.warmth.get(name)
         since = index.next if index is not None else 0
-        # A list tells no clock, and without one nothing may be offered.
+        # A list doesn't give the clock, without which nothing may be offered.
         known = index is not None and index.clock_ms is not None
         hold_s = HOLD_S if known else 0.0
         return await self._hub.runners.read_events(address, since, hold_s)
 
-    def _find_pause(self, outcome):
+    def _get_pause(self, outcome):
         if outcome == MISSING:
-            return self._hub.view.rng.uniform(*AGAIN_S)
-        return STORE_PERIOD_S if outcome == FOLLOWED else LEAST_PAUSE_S
+            return self._hub.view.rng.uniform(*LIST_RETRY_PAUSE_S)
+        return STORE_PERIOD_S if outcome == FOLLOWED else MIN_PAUSE_S
 
     async def _ask_peer(self, peer):
-        """Ask a box that follows the stores what is new at all of them.
+        """Ask a box that follows the stores for updates of all of them.
 
         Returns
         -------
         str
-            FOLLOWED where nothing was missing, LISTED where whole lists were
-            read, whose clock the next answer brings, MISSING where one could
-            not be had.
+            FOLLOWED if nothing was missing; LISTED if complete lists were
+            read, whose clock comes with the next answer; MISSING if one of
+            them could not be read.
         """
         stores = self._hub.view.table.keepers
         sent = self._hub.clock()
         found = await self._fetch_changes(peer, stores)
         if found is None:
-            # It may have started with this box: the lists need no other box.
+            # The peer may have just started as well.  Complete lists come
+            # from the stores, so they can be read without it.
             found = {}
             stores = [n for n in stores if not self._is_known(n)]
-        for name, news in found.items():
-            if not news.lost:
-                self._take(name, news, sent, self._hub.clock())
+        for name, updates in found.items():
+            if not updates.lost:
+                self._apply(name, updates, sent, self._hub.clock())
         missing = [n for n in stores if n not in found or found[n].lost]
         if not missing:
             return FOLLOWED
@@ -185,47 +195,47 @@
         return self._hub.view.warmth.get(name) is not None
 
     async def _read_lists(self, names):
-        """Read whole lists, some at a time; tells whether all were had."""
+        """Read complete lists in groups; return whether all were read."""
         read = []
-        for start in range(0, len(names), LISTS_AT_ONCE):
-            some = names[start : start + LISTS_AT_ONCE]
-            read += await asyncio.gather(*map(self._read_list, some))
+        for start in range(0, len(names), MAX_CONCURRENT_LISTS):
+            group = names[start : start + MAX_CONCURRENT_LISTS]
+            read += await asyncio.gather(*map(self._read_list, group))
         return all(read)
 
     async def _fetch_changes(self, peer, stores):
-        """Fetch the News of another box by store; None: it gave no answer."""
+        """Return a peer's News by store, or None if it gave no answer."""
         known = self._hub.view.warmth
-        wanted = {name: known.get_place(name) for name in stores}
+        positions = {name: known.get_place(name) for name in stores}
         try:
             return await boxcalls.ask(
                 self._hub,
                 peer,
                 dict[str, warmth.News],
                 ('POST', CHANGES_PATH),
-                cbor2.dumps(wanted),
-                timeout=ANSWER_S,
+                cbor2.dumps(positions),
+                timeout=ANSWER_TIMEOUT_S,
             )
         except boxcalls.NoAnswer as error:
-            reason = str(error)[:MOST_REASON]
+            reason = str(error)[:MAX_REASON_CHARS]
             self._hub.recorder.record('no_state', reason=reason)
             return None
 
     async def _read_list(self, name):
-        """Read the whole list of a store; tells whether it could be had."""
+        """Read the complete list of a store; return whether it was read."""
         sent = self._hub.clock()
-        news = await self._hub.runners.read_list(boot.parse_address(name))
-        if isinstance(news, runners.Unanswered):
+        updates = await self._hub.runners.read_list(boot.parse_address(name))
+        if isinstance(updates, runners.Unanswered):
             self._hub.recorder.record(
-                'store_down', store=name, reason=news.reason
+                'store_down', store=name, reason=updates.reason
             )
             return False
-        self._take(name, news, sent, self._hub.clock())
+        self._apply(name, updates, sent, self._hub.clock())
         return True
 
     async def answer_changes(self, request, exchange):
-        """Answer another box: what is new at each store."""
+        """Answer a peer with the updates of each store that it names."""
         try:
-            wanted = msgspec.convert(
+            positions = msgspec.convert(
                 cbor2.loads(request.body), dict[str, tuple[int, int]]
             )
         except (cbor2.CBORError, msgspec.ValidationError) as error:
@@ -233,6 +243,11 @@
             await exchange.send_json(400, {'error': 'not understood'})
             return
         known, now = self._hub.view.warmth, self._hub.clock()
-        found = {n: known.tell(n, *place, now) for n, place in wanted.items()}
-        told = {n: news for n, news in found.items() if news is not None}
-        await boxcalls.answer(exchange, msgspec.to_builtins(told))
+        found = {
+            n: known.tell(n, *position, now)
+            for n, position in positions.items()
+        }
+        answers = {
+            n: updates for n, updates in found.items() if updates is not None
+        }
+        await boxcalls.answer(exchange, msgspec.to_builtins(answers))
--- a/landingspool/gateway/following.py
+++ b/landingspool/gateway/following.py
@@ -1,9 +1,10 @@
-"""Follows what operators publish and which targets exist.
+"""Follow the topics of tables, targets and claims in the platform's store.
 
-Held reads of the platform's store, or of a box that reads it, each
-answered as soon as anything is new.  Every answer proves that the table was
-current when it was asked for.  Where records are gone from the log, the
-newest of each key are read again; a table never goes back in version.
+Topics are followed with held reads of the store, or of a box that reads it.
+Each read is answered as soon as there is anything new.  Every answer proves
+that the table was current when the read was sent.  If records are gone from
+the log, the newest record of each key is read again.  The version of a table
+never decreases.
 """
 
 import asyncio
@@ -15,20 +16,20 @@
 from landingspool.platform import names
 from landingspool.platform import store as store_module
 
-# Pause after a read that failed, seconds, doubled up to the greatest.
-PAUSE_S = 0.1
-MOST_PAUSE_S = 0.8
-# Seconds for which a read that is not of tables waits at most for the answer
-# to another one; that of tables is asked for again after 0.8 s at most, so
-# this is for the case that it is itself without an answer.
-AWAY_S = 3.0
-# Seconds after a failed read for which a vanished entry may have lapsed
-# only because the store was away.
-UNSURE_S = 5.0
+# Pause after a read that failed, seconds; doubled up to the maximum.
+RETRY_PAUSE_S = 0.1
+MAX_RETRY_PAUSE_S = 0.8
+# Maximum seconds for which a topic other than the tables waits, after a failed
+# read, for any read to be answered.  The tables are read again after 0.8 s at
+# most, so this matters only if their read stays without an answer too.
+MAX_WAIT_S = 3.0
+# Seconds after a failed read in which a vanished entry may have lapsed only
+# because the store was unreachable.
+UNCONFIRMED_S = 5.0
 
 
 class Follower:
-    """Follows one topic; each subclass takes in the records of its own.
+    """Follow one topic; each subclass applies the records of its topic.
 
     Parameters
     ----------
@@ -39,13 +40,13 @@
     ----------
     topic : str
     hold_s : float
-        Seconds for which a read is held where there is nothing new.
+        Seconds for which a read is held if there is nothing new.
     newest_only : bool
         Whether only the newest record of a key matters.
     least_end : int
-        Where the topic ended as far as this box knows.
+        End offset of the topic as far as this box knows.
     was_tried : bool
-        Whether the topic has been read, or could not be.
+        Whether a read of the topic has been answered or has failed.
     """
 
     topic = ''
@@ -61,9 +62,9 @@
     async def run(self):
         """Follow until cancelled.
 
-        Who knows the other boxes follows one that reads for its domain as
-        soon as it has read the store once; 195 boxes that start would each
-        begin with held reads of their own for three topics.
+        A box that knows its peers reads the store once, then follows a peer
+        that reads for its domain.  Otherwise each of 195 boxes that start
+        would send the store held reads of its own for three topics.
         """
         await self._hub.peering.wait_listed()
         while True:
@@ -74,7 +75,7 @@
                 ),
             )
             self._tail.reset(newest.records, newest.end, newest.sent)
-            self._take_newest(newest)
+            self._apply_newest(newest)
             await self._follow(newest.end)
 
     async def _follow(self, offset):
@@ -87,7 +88,7 @@
             self._tail.extend(page)
             if page.records:
                 self._hub.offer.wake(self.topic)
-            self._take_page(page)
+            self._apply_page(page)
 
     async def _read_page(self, offset):
         return await self._hub.sources.read(self.topic, offset, self.hold_s)
@@ -95,11 +96,12 @@
     async def _read(self, kind, read):
         """Read until there is an answer, with growing pauses.
 
-        A read that was under way while this process stood still, and has no
-        answer yet, is asked anew at once: what it would prove is as old as
-        its question, and that it fails says nothing of the store.
+        A read that was pending during a stall of this process, and still has
+        no answer, is sent again at once: its answer would prove only how
+        things were before the stall, and its failure says nothing about the
+        store.
         """
-        pause = PAUSE_S
+        pause = RETRY_PAUSE_S
         while True:
             sent = self._hub.clock()
             reply = await self._wait(asyncio.ensure_future(read()))
@@ -107,68 +109,68 @@
                 self._record_state(True, kind)
                 return reply
             if reply is None or not self._hub.timer.ran_since(sent):
-                pause = PAUSE_S
+                pause = RETRY_PAUSE_S
                 continue
             self._record_state(False, reply.reason)
-            await self._rest(pause)
-            pause = min(pause * 2, MOST_PAUSE_S)
+            await self._pause_reads(pause)
+            pause = min(pause * 2, MAX_RETRY_PAUSE_S)
 
     async def _wait(self, reading):
-        """Wait for a read; None where this process stood still meanwhile."""
+        """Wait for a read; return None if this process stalled during it."""
         resumed = asyncio.ensure_future(self._hub.resumption.wait_for_stall())
         try:
             await asyncio.wait(
                 {reading, resumed}, return_when=asyncio.FIRST_COMPLETED
             )
-            # What has arrived meanwhile is read first.
+            # Input that arrived during the stall is read first.
             await asyncio.wait({reading}, timeout=resumption.PENDING_INPUT_S)
             return reading.result() if reading.done() else None
         finally:
             reading.cancel()
             resumed.cancel()
 
-    async def _rest(self, seconds):
-        """Pause after a failed read; the first pause is PAUSE_S long.
+    async def _pause_reads(self, seconds):
+        """Pause after a failed read; the first pause is RETRY_PAUSE_S long.
 
-        From the second failure on the source is away.  That it is back the
-        read of the tables finds out, which asks all the time: where each
-        topic did, a box made four calls for each of three topics in four
-        seconds without a store, and makes one or two for two of them since
-        (test_following.py); each call has a price.
+        From the second failure on the source counts as unreachable.  Only the
+        read of the tables continues to ask, and finds out when the source
+        answers again.  If each of the three topics asked, a box would make
+        four calls for each in four seconds without a store; so it makes one
+        or two for each of the other two.  Each call costs time at the store.
         """
-        if seconds <= PAUSE_S:
+        if seconds <= RETRY_PAUSE_S:
             await asyncio.sleep(seconds)
         else:
-            await self._hub.sources.wait_answered(AWAY_S)
+            await self._hub.sources.wait_answered(MAX_WAIT_S)
 
     @property
     def least_end(self):
-        """An older word of another box is not taken."""
+        """Return the offset that answers of other boxes must have reached."""
         return self._tail.end or 0
 
-    def is_unsure(self):
-        """Tell whether the store was away shortly before now."""
+    def was_store_unreachable(self):
+        """Return whether the store was unreachable shortly before."""
         failed_at = self._hub.sources.failed_at
         if failed_at is None:
             return False
-        return self._hub.clock() - failed_at < UNSURE_S
+        return self._hub.clock() - failed_at < UNCONFIRMED_S
 
-    def _take_newest(self, newest):
+    def _apply_newest(self, newest):
         for record in newest.records:
-            self._take(record)
+            self._apply(record)
         self._record_read(newest.sent)
 
-    def _take_page(self, page):
+    def _apply_page(self, page):
         for record in page.records:
-            self._take(record)
+            self._apply(record)
         if page.whole:
             self._record_read(page.sent)
 
-    def _take(self, record):
+    def _apply(self, record):
         raise NotImplementedError
 
     def _record_read(self, sent):
-        """Note that a read which was sent at `sent` is answered."""
+        """Record that a read which was sent at `sent` is answered."""
 
     def _record_malformed(self, record, error):
         self._hub.recorder.record(
@@ -184,18 +186,19 @@
 
 
 class Published(Follower):
-    """Follows tables and named versions of weights."""
+    """Follow tables, evacuations and named versions of weights."""
 
     topic = names.PUBLISHED_TOPIC
     newest_only = True
 
     @property
     def hold_s(self):
-        """The proof is renewed once a hold, in a chain once in two holds.
+        """Return the hold of a read, after which the proof is renewed.
 
-        No read of another box is held beyond the age at which this one has
-        to read for itself, and none at all from then on: a read proves
-        something only once it is answered.
+        Behind a box that itself follows the store, the proof is renewed only
+        once in two holds.  No read of another box is held beyond the age of
+        proof at which this box has to read the store itself, and none is held
+        from then on: a read proves something only once it is answered.
         """
         peering = self._hub.peering
         left_s = peering.ages.old_s - self._hub.view.proof.age(
@@ -207,12 +210,12 @@
             return peering.ages.hold_s
         return min(peering.ages.chained_s, left_s)
 
-    async def _rest(self, seconds):
-        """Pause after a failed read: it is for this one to ask again."""
+    async def _pause_reads(self, seconds):
+        """Pause after a failed read; this topic always asks again."""
         await asyncio.sleep(seconds)
 
-    def _take_newest(self, newest):
-        super()._take_newest(newest)
+    def _apply_newest(self, newest):
+        super()._apply_newest(newest)
         self._hub.state.set_evacuated(
             {
                 read_evacuated(record)
@@ -221,7 +224,7 @@
             }
         )
 
-    def _take(self, record):
+    def _apply(self, record):
         domain = read_evacuated(record)
         if domain:
             self._hub.state.put_evacuation(domain, bool(record.value))
@@ -233,7 +236,7 @@
             elif record.key.startswith(names.VERSION_KEY):
                 self._take_version(record.value)
         except catalogue.Malformed as error:
-            # The newest good table stays in force.
+            # The newest valid table stays in force.
             self._record_malformed(record, error)
 
     def _take_version(self, value):
@@ -256,77 +259,77 @@
 
 
 def is_failure(reply):
-    """Tell whether a read had no usable answer."""
+    """Return whether a read had no usable answer."""
     return isinstance(reply, store_module.Unavailable)
 
 
 def read_evacuated(record):
-    """Give the domain whose evacuation a record tells of; empty: none."""
+    """Return the domain that a record evacuates, or an empty string."""
     if not record.key.startswith(names.EVACUATION_KEY):
         return ''
     return record.key.removeprefix(names.EVACUATION_KEY)
 
 
 class Targets(Follower):
-    """Follows the targets' entries."""
+    """Follow the targets' entries."""
 
     topic = names.TARGETS_TOPIC
-    # Longer than for tables, since no proof hangs on it; a read that is
+    # Longer than for tables, since no proof depends on it.  A read that is
     # lost with its connection still ends before a leaving target must have
-    # been noticed (two seconds, after three in which the store was well).
+    # been noticed (two seconds, after three in which the store worked).
     hold_s = 2.4
 
     @property
     def least_end(self):
-        """What another box gave may be newer than what was read."""
+        """Return the end of what was read, or of a peer's state if newer."""
         return max(super().least_end, self._hub.state.targets_end)
 
-    def _take_newest(self, newest):
-        super()._take_newest(newest)
+    def _apply_newest(self, newest):
+        super()._apply_newest(newest)
         self._hub.state.targets_end = newest.end
         listed = {record.key for record in newest.records if record.value}
         for target in self._hub.view.fleet.list_targets():
             if target not in listed:
                 self._drop(target)
 
-    def _take_page(self, page):
-        # What is older than what another box gave would bring back targets
-        # that are gone.
+    def _apply_page(self, page):
+        # Records older than the state fetched from a peer would bring back
+        # targets that are gone.
         known = self._hub.state.targets_end
-        fresh = tuple(r for r in page.records if r.offset >= known)
-        super()._take_page(dataclasses.replace(page, records=fresh))
+        newer = tuple(r for r in page.records if r.offset >= known)
+        super()._apply_page(dataclasses.replace(page, records=newer))
         self._hub.state.targets_end = max(known, page.end)
 
-    def _take(self, record):
+    def _apply(self, record):
         if not record.value:
             self._drop(record.key)
             return
         self._hub.state.put_target(record.key, record.value)
 
     def _drop(self, target):
-        self._hub.state.drop_target(target, self.is_unsure())
+        self._hub.state.drop_target(target, self.was_store_unreachable())
 
 
 class Claims(Follower):
-    """Follows who gives orders, and under which requests targets ended."""
+    """Follow who orders rollouts, and which requests crashed targets."""
 
     topic = names.CLAIMS_TOPIC
-    # Nothing depends on hearing of silence here.
+    # Nothing depends on noticing quickly that nothing is new here.
     hold_s = 8.0
 
     def __init__(self, hub, watch):
         super().__init__(hub)
         self._watch = watch
 
-    def _take_newest(self, newest):
-        super()._take_newest(newest)
+    def _apply_newest(self, newest):
+        super()._apply_newest(newest)
         self._watch.end = newest.end
 
-    def _take_page(self, page):
-        super()._take_page(page)
+    def _apply_page(self, page):
+        super()._apply_page(page)
         self._watch.end = page.end
 
-    def _take(self, record):
+    def _apply(self, record):
         if record.key.startswith(names.ENDINGS_KEY):
             self._hub.marks.take(record)
             return
--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/hearing.py
@@ -1,26 +1,26 @@
-"""Takes in what targets say in their answers, and tells operators of it."""
+"""Apply the notices in answers of targets and report them to operators."""
 
 import typing
 
 from landingspool.decisions.gateway import neighbours
 from landingspool.gateway import marks
 from landingspool.platform import limits as field
-from landingspool.platform import notices as words_module
+from landingspool.platform import notices as notices_module
 
 
 class Called(typing.NamedTuple):
-    """A call beside the requests, as it goes out.
+    """A call to an address that is not a request of a caller.
 
-    `lives` are the names of the lives at its address then: an answer says
-    nothing of a life that has begun since.
+    `incarnations` are their names at the address when the call is sent.  Its
+    answer says nothing about an incarnation that began later.
     """
 
-    lives: tuple
+    incarnations: tuple
     asked: float
 
 
 class Hearing:
-    """What answers say of their targets, for the decisions and for the log.
+    """Apply and log what targets announce in their answers.
 
     Parameters
     ----------
@@ -33,72 +33,72 @@
         self._limits = hub.view.bars.limits
         self._unreadable = set()
         self._leaving = hub.view.bars.leaving
-        self._rests = hub.view.bars.rests
+        self._backoffs = hub.view.bars.rests
 
-    def take(self, name, words, asked, certain=True):
-        """Take in what an answer of a target says.
+    def take(self, name, notices, asked, certain=True):
+        """Apply the notices of one answer of a target.
 
         Parameters
         ----------
         name : str
-            Of the target's life.
-        words : words.Notices
+            Of the target's incarnation.
+        notices : notices.Notices
         asked : float
-            When the request went out.
+            When the request was sent, seconds.
         certain : bool
-            Whether an answer of this kind names a limit wherever one holds:
-            only then one without tells that there is none.
+            Whether an answer of this kind always names a limit that is in
+            force.  Only then an answer without one means that there is none.
         """
-        self._take_limit(name, words.limit, asked, certain)
-        self._take_rest(name, words.rest)
-        self._take_leaving(name, words.leaving)
-        for title, word in words._asdict().items():
-            if isinstance(word, field.Unreadable):
-                self._record_unreadable(name, title, word.text)
+        self._apply_limit(name, notices.limit, asked, certain)
+        self._apply_backoff(name, notices.rest)
+        self._apply_leaving(name, notices.leaving)
+        for title, notice in notices._asdict().items():
+            if isinstance(notice, field.Unreadable):
+                self._record_unreadable(name, title, notice.text)
 
     def begin_call(self, address):
-        """Give the Called of a call to an address that goes out now."""
+        """Return the Called of a call that is sent to an address now."""
         entries = self._hub.view.fleet.entries.values()
-        lives = tuple(e.name for e in entries if e.address == address)
-        return Called(lives, self._hub.clock())
+        incarnations = tuple(e.name for e in entries if e.address == address)
+        return Called(incarnations, self._hub.clock())
 
-    def take_beside(self, called, words):
-        """Take in what the answer to a call beside the requests says.
+    def take_beside(self, called, notices):
+        """Apply the notices in the answer to a call that is no request.
 
-        Whether such answers name each limit isn't said anywhere, so one
-        without tells nothing.
+        It is not specified whether such answers name each limit, so an answer
+        without one means nothing.
 
         Parameters
         ----------
         called : Called
-        words : words.Notices
+        notices : notices.Notices
         """
-        for name in called.lives:
-            self.take(name, words, called.asked, certain=False)
+        for name in called.incarnations:
+            self.take(name, notices, called.asked, certain=False)
 
     def look(self):
-        """Act on what is new, and log it by the names of the targets."""
-        self._look_at_rests()
+        """Act on new notices, and log them with the names of the targets."""
+        self._log_backoffs()
         limits = marks.take_all(self._limits.fresh)
         leaving = marks.take_all(self._leaving.fresh)
         if not limits and not leaving:
             return
-        lives = self._hub.view.fleet.list_lives()
-        names = {neighbours.code_target(name): name for name in lives}
-        self._look_at_limits(limits, names)
-        self._look_at_leaving(leaving, names)
+        incarnations = self._hub.view.fleet.list_lives()
+        names = {neighbours.code_target(name): name for name in incarnations}
+        self._log_limits(limits, names)
+        self._log_leaving(leaving, names)
 
-    def _look_at_rests(self):
-        for asked in marks.take_all(self._rests.fresh):
+    def _log_backoffs(self):
+        for asked in marks.take_all(self._backoffs.fresh):
             self._hub.recorder.record(
                 'rest_asked',
                 target=asked.name,
                 seconds=round(asked.rest.until - asked.rest.asked, 3),
             )
-        for name in self._rests.take_over(self._hub.clock()):
+        for name in self._backoffs.take_over(self._hub.clock()):
             self._hub.recorder.record('rest_over', target=name)
 
-    def _look_at_leaving(self, changes, names):
+    def _log_leaving(self, changes, names):
         for known in changes:
             name = names.get(known.life, known.life)
             self._hub.recorder.record(
@@ -109,13 +109,13 @@
             )
             entry = self._hub.view.fleet.entries.get(name)
             if entry is not None:
-                # What is at rest there only keeps places from the others.
+                # Idle connections there would only take up slots of others.
                 self._hub.upstream.drop(entry.address)
 
-    def _look_at_limits(self, changes, names):
+    def _log_limits(self, changes, names):
         for life, known in changes:
             if known.box and known.since < known.changed and known.per_s:
-                # Who heard the target name another figure has logged it.
+                # The box that received the changed limit has logged it.
                 continue
             self._hub.recorder.record(
                 'limit_named' if known.per_s else 'limit_over',
@@ -126,7 +126,7 @@
             )
 
     def sweep(self):
-        """Bring the metrics up to date."""
+        """Update the metrics."""
         entries = self._hub.view.fleet.entries
         self._unreadable = {
             row for row in self._unreadable if row[0] in entries
@@ -136,10 +136,10 @@
         used = {name: self._limits.find_used(name, now) for name in named}
         self._hub.metrics.record_limits(named, used, now)
         self._hub.metrics.record_leaving(self.list_leaving(now))
-        self._hub.metrics.record_backoffs(self._rests.list_resting(now))
+        self._hub.metrics.record_backoffs(self._backoffs.list_resting(now))
 
     def list_leaving(self, now):
-        """Give the seconds since listed targets said that they leave."""
+        """Return the seconds since listed targets announced their leaving."""
         found = {
             name: self._leaving.find(name)
             for name in self._hub.view.fleet.entries
@@ -150,7 +150,7 @@
             if known is not None
         }
 
-    def _take_limit(self, name, limit, asked, certain):
+    def _apply_limit(self, name, limit, asked, certain):
         now = self._hub.clock()
         if isinstance(limit, field.Named):
             self._limits.record_named(name, limit.per_s, asked, now)
@@ -158,16 +158,16 @@
         elif isinstance(limit, field.Unnamed) and certain:
             self._limits.record_unnamed(name, asked, now)
 
-    def _take_rest(self, name, rest):
-        if isinstance(rest, words_module.Rest):
-            self._rests.record_asked(name, rest.seconds, self._hub.clock())
+    def _apply_backoff(self, name, rest):
+        if isinstance(rest, notices_module.Rest):
+            self._backoffs.record_asked(name, rest.seconds, self._hub.clock())
 
-    def _take_leaving(self, name, leaving):
-        if isinstance(leaving, words_module.Leaving):
+    def _apply_leaving(self, name, leaving):
+        if isinstance(leaving, notices_module.Leaving):
             self._leaving.record_told(name, self._hub.clock())
 
     def _record_unreadable(self, name, title, text):
-        # One line for what a target says again and again.
+        # A notice that a target repeats is logged once.
         if (name, title) not in self._unreadable:
             self._unreadable.add((name, title))
             self._hub.recorder.record(
--- a/landingspool/gateway/marks.py
+++ b/landingspool/gateway/marks.py
@@ -1,8 +1,8 @@
-"""Makes it last under which requests targets ended, and logs it.
+"""Store which requests crashed targets, and log their quarantine.
 
-What boxes tell each other is gone with them; what bars a request is written
-into the platform's store besides, where a box that starts, or comes back
-from a cut, reads it.
+What boxes gossip about crashes is lost when they all stop.  So what
+quarantines a request is also written into the platform's store.  A box that
+starts, or was cut off, reads it there.
 """
 
 import asyncio
@@ -13,22 +13,24 @@
 from landingspool.platform import names
 from landingspool.platform import store as store_module
 
-# Seconds that a box leaves to each one before it, in the hash order of all,
-# to write what all of them know: one does, and the others read it in some ms.
+# Seconds that a box leaves to each box before it, in the hash order of all
+# boxes, to write what all of them know.  One of them writes the record, and
+# the others read it within a few milliseconds.
 TURN_S = 0.5
-# Seconds for which a write that failed waits at most for the store's return.
-AWAY_S = 5.0
+# Seconds for which a failed write waits at most for the store to answer any
+# read.
+MAX_WAIT_S = 5.0
 
 
-class Due(typing.NamedTuple):
-    """A record to be written, unless another box has done so by then."""
+class PendingWrite(typing.NamedTuple):
+    """A record to write at a time unless another box has written it."""
 
     value: bytes
     at: float
 
 
 class Marks:
-    """The lasting part of what endings.Endings knows.
+    """Keep the crashes that quarantine requests in the platform's store.
 
     Parameters
     ----------
@@ -38,33 +40,33 @@
 
     def __init__(self, hub):
         self._hub = hub
-        self._endings = hub.view.endings
-        self._due = {}
+        self._crashes = hub.view.endings
+        self._pending = {}
         self._written = {}
         self._wake = asyncio.Event()
 
     def look(self):
-        """Log what is new, and have it written."""
-        endings = self._endings
+        """Log new and lifted quarantines, and have them written."""
+        endings = self._crashes
         for fingerprint in take_all(endings.fresh):
-            self._record_barred(fingerprint)
+            self._record_quarantine(fingerprint)
         for fingerprint in take_all(endings.lifted):
             self._hub.recorder.record('bar_lifted', content=fingerprint.hex())
             self._put(fingerprint, b'')
 
     def take(self, record):
-        """Take in what a box has written; an empty value lifts a bar."""
+        """Apply a record of any box; an empty value lifts a quarantine."""
         now = self._hub.clock()
         key = record.key.removeprefix(names.ENDINGS_KEY)
         self._written[key] = record.value
         try:
             if record.value:
-                words = catalogue.read_endings(
+                notices = catalogue.read_endings(
                     key, record.value, self._hub.wall()
                 )
             else:
                 fingerprint = bytes.fromhex(key)
-                words = [
+                notices = [
                     neighbours.CrashNotice(fingerprint, neighbours.NO_LIFE, 0)
                 ]
         except (catalogue.Malformed, ValueError) as error:
@@ -72,65 +74,72 @@
                 'malformed', key=record.key, reason=str(error)
             )
             return
-        for word in words:
-            self._endings.take(word, now)
+        for notice in notices:
+            self._crashes.take(notice, now)
         self.look()
 
     def list_due(self):
-        """List what is still to be written, by its key."""
-        return list(self._due)
+        """List the keys of the records that are still to be written."""
+        return list(self._pending)
 
     async def run(self):
-        """Write what is due, until cancelled."""
+        """Write pending records until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._due:
-                key = min(self._due, key=lambda row: self._due[row].at)
-                await self._write(key, self._due[key])
+            while self._pending:
+                key = min(self._pending, key=lambda row: self._pending[row].at)
+                await self._write(key, self._pending[key])
 
-    def _record_barred(self, fingerprint):
+    def _record_quarantine(self, fingerprint):
         now = self._hub.clock()
-        words = self._endings.list_notices(fingerprint, now)
-        lives = self._hub.view.fleet.list_lives()
-        found = {neighbours.code_target(name): name for name in lives}
+        notices = self._crashes.list_notices(fingerprint, now)
+        incarnations = self._hub.view.fleet.list_lives()
+        found = {neighbours.code_target(name): name for name in incarnations}
         self._hub.recorder.record(
             'barred',
             content=fingerprint.hex(),
-            targets=[found.get(word.life, word.life) for word in words],
-            ages_ms=[word.age_ms for word in words],
+            targets=[
+                found.get(notice.life, notice.life) for notice in notices
+            ],
+            ages_ms=[notice.age_ms for notice in notices],
         )
         wall = self._hub.wall()
-        self._put(fingerprint, catalogue.write_endings(words, wall))
+        self._put(fingerprint, catalogue.write_endings(notices, wall))
 
     def _put(self, fingerprint, value):
         key = fingerprint.hex()
         turn = self._hub.peering.find_place(key)
-        self._due[key] = Due(value, self._hub.clock() + turn * TURN_S)
+        self._pending[key] = PendingWrite(
+            value, self._hub.clock() + turn * TURN_S
+        )
         self._wake.set()
 
-    async def _write(self, key, due):
-        """Write one record when its turn has come, if it is still wanted."""
-        left_s = due.at - self._hub.clock()
+    async def _write(self, key, write):
+        """Write one record in this box's turn if nobody has written it yet."""
+        left_s = write.at - self._hub.clock()
         if left_s > 0:
             await asyncio.sleep(min(left_s, TURN_S))
-        elif not self._is_written(key, due.value):
+        elif not self._is_written(key, write.value):
             reply = await self._hub.store.append(
-                names.CLAIMS_TOPIC, f'{names.ENDINGS_KEY}{key}', due.value
+                names.CLAIMS_TOPIC, f'{names.ENDINGS_KEY}{key}', write.value
             )
             if isinstance(reply, store_module.Unavailable):
-                await self._hub.sources.wait_answered(AWAY_S)
+                await self._hub.sources.wait_answered(MAX_WAIT_S)
                 return
-            self._written[key] = due.value
-        if self._is_written(key, due.value) and self._due.get(key) == due:
-            del self._due[key]
+            self._written[key] = write.value
+        if (
+            self._is_written(key, write.value)
+            and self._pending.get(key) == write
+        ):
+            del self._pending[key]
 
     def _is_written(self, key, value):
         return bool(self._written.get(key)) == bool(value)
 
 
 def take_all(rows):
-    """Empty a list; gives what it held."""
+    """Empty a list and return what it held."""
     taken = list(rows)
     rows.clear()
     return taken
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -1,8 +1,8 @@
-"""Gives the orders that bring targets to newly named weights.
+"""Order targets to load newly named versions of weights.
 
-Any box may do it, one at a time does: the one whose claim stands in the
-platform's store.  All boxes follow the claims, since these tell which
-targets load; a claim is written only while some target is behind.
+Any box may give orders, but only one does so at a time: the one whose claim
+is in the platform's store.  All boxes follow the claims, since these name the
+targets that load.  A claim is written only while some target is behind.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 from landingspool.platform import runners
 from landingspool.platform import store as store_module
 
-# Period of the looks while targets are behind, seconds.
-LOOK_S = 0.1
-# Period of the reports that are asked for while a target loads, seconds.
-REPORT_S = 0.2
+# Period at which the versions of the targets are checked, seconds.
+CHECK_PERIOD_S = 0.1
+# Period at which a target's report is read while it drains or loads, seconds.
+REPORT_PERIOD_S = 0.2
 
 
 class Orderer:
-    """Gives orders while this box holds the claim.
+    """Give orders while this box holds the claim.
 
     Parameters
     ----------
@@ -31,34 +31,34 @@
     Attributes
     ----------
     watch : rollouts.Watch
-        Told of every claim that is read.
+        Receives every claim that is read.
     """
 
     def __init__(self, hub):
         self._hub = hub
         self.watch = rollouts.Watch(hub.place.bounds.lease_s)
         self._lease = None
-        self._told = ()
-        # Since when the right is wanted and nobody holds it.
-        self._free_since = None
+        self._claimed_loading = ()
+        # Since when the claim is needed and nobody holds it.
+        self._unclaimed_since = None
         self._rollouts = {}
         self._tasks = set()
 
     async def run(self):
-        """Order until cancelled."""
+        """Give orders until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_PERIOD_S)
             behind = self._list_behind()
-            if not behind and not self._told:
-                self._free_since = None
+            if not behind and not self._claimed_loading:
+                self._unclaimed_since = None
                 continue
             if not self._may_hold():
                 continue
-            orders = self._plan(behind)
-            if await self._hold(self._list_loading()):
-                self._give(orders)
+            orders = self._plan_orders(behind)
+            if await self._renew_claim(self._list_loading()):
+                self._send_orders(orders)
             else:
-                self._withdraw(orders)
+                self._cancel(orders)
 
     def _list_behind(self):
         view = self._hub.view
@@ -80,27 +80,27 @@
             return False
         box = self._hub.place.box
         if not self.watch.may_claim(box, now):
-            self._free_since = None
+            self._unclaimed_since = None
             return False
         return self.watch.is_last_holder(box) or self._is_turn(now)
 
     def _is_turn(self, now):
-        """Tell whether the boxes before this one had time to claim."""
-        if self._free_since is None:
-            self._free_since = now
-        place = self._hub.peering.find_place(CLAIM_KEY)
-        return now - self._free_since >= rollouts.find_turn(place)
+        """Return whether the boxes before this one had time to claim."""
+        if self._unclaimed_since is None:
+            self._unclaimed_since = now
+        rank = self._hub.peering.find_place(CLAIM_KEY)
+        return now - self._unclaimed_since >= rollouts.find_turn(rank)
 
-    async def _hold(self, loading):
-        """Make the claim good; tells whether orders may be given.
+    async def _renew_claim(self, loading):
+        """Renew the claim if needed; return whether orders may be given.
 
-        It is written again when it grows old, and whenever the targets
-        change that load, so that all boxes hear of these first.
+        It is written again before it expires, and whenever the set of loading
+        targets changes, so that all boxes know these before the orders.
         """
         now = self._hub.clock()
-        held = rollouts.is_held(self._lease, now)
-        young = held and rollouts.is_young(self._lease, now)
-        if young and tuple(loading) == self._told:
+        is_held = rollouts.is_held(self._lease, now)
+        is_recent = is_held and rollouts.is_young(self._lease, now)
+        if is_recent and tuple(loading) == self._claimed_loading:
             return True
         if not await self._claim(loading):
             return False
@@ -116,36 +116,38 @@
             self.watch.end = reply.offset + 1
             if self._lease is None:
                 self._hub.recorder.record('holding', fence=reply.offset)
-            # The newest append is the fence: they only rise.
+            # The offset of the newest append is the fence: it only rises.
             self._lease = rollouts.Lease(
                 reply.offset, reply.sent, self._hub.place.bounds.lease_s
             )
-            self._told = tuple(loading)
+            self._claimed_loading = tuple(loading)
             self._hub.view.weights.put_loading(loading, self._hub.clock())
             return True
         if isinstance(reply, store_module.Conflict):
-            # Somebody else appended: what this box held is over.
-            self._give_up('another holder')
+            # Another box has appended, so the claim of this one has expired.
+            self._drop_claim('another box wrote a claim')
         return False
 
-    def _give_up(self, reason):
+    def _drop_claim(self, reason):
         if self._lease is not None:
             self._hub.recorder.record('lease_lost', reason=reason)
         self._lease = None
-        self._told = ()
+        self._claimed_loading = ()
 
-    def _plan(self, behind):
+    def _plan_orders(self, behind):
         now = self._hub.clock()
         orders = []
         for model, version, targets in behind:
             rollout = self._rollouts.setdefault(model, rollouts.Rollout())
-            left = [
+            seconds_left = [
                 self._hub.view.find_time_left(name, model, now)
-                for name, has in targets.items()
-                if has < version
+                for name, loaded in targets.items()
+                if loaded < version
             ]
-            most = rollouts.find_room(len(targets), left)
-            for order in rollout.plan(model, version, targets, most, now):
+            max_loading = rollouts.find_room(len(targets), seconds_left)
+            for order in rollout.plan(
+                model, version, targets, max_loading, now
+            ):
                 rollout.record(order, now, rollouts.PREPARING)
                 orders.append(order)
         return orders
@@ -157,19 +159,19 @@
             loading.update(rollout.list_loading(now))
         return loading
 
-    def _withdraw(self, orders):
+    def _cancel(self, orders):
         for order in orders:
             self._rollouts[order.model].finish(order.target)
 
-    def _give(self, orders):
+    def _send_orders(self, orders):
         for order in orders:
             rollout = self._rollouts[order.model]
-            task = asyncio.ensure_future(self._bring(rollout, order))
+            task = asyncio.ensure_future(self._update_target(rollout, order))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _bring(self, rollout, order):
-        """Bring one target to the version, as far as it answers."""
+    async def _update_target(self, rollout, order):
+        """Have one target load the version, as far as it answers."""
         entry = self._hub.view.fleet.entries.get(order.target)
         if entry is None:
             rollout.finish(order.target)
@@ -186,19 +188,19 @@
         await self._wait(rollout, entry, order)
 
     async def _drain(self, entry, order):
-        """Wait until a target has little left to do; the last report.
+        """Wait until a target is nearly idle; return its last report.
 
-        An order makes the target refuse what has not begun.  All boxes
-        send it less since the claim, so it soon has nothing.
+        An ordered target refuses the requests that it hasn't begun.  All boxes
+        send it fewer requests since the claim, so it is soon idle.
         """
-        ends = self._hub.clock() + rollouts.CLOSING_S
+        deadline = self._hub.clock() + rollouts.CLOSING_S
         while True:
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_PERIOD_S)
             report = await self._read_report(entry, order)
             if isinstance(report, runners.Unanswered):
                 return report
             idle = not report.waiting and not report.running
-            if idle or self._hub.clock() >= ends:
+            if idle or self._hub.clock() >= deadline:
                 return report
 
     async def _send(self, entry, order, report):
@@ -207,7 +209,7 @@
         if not self._hub.heartbeat.is_fresh(self._hub.clock()):
             return rollouts.REFUSED
         if not self._hub.view.may_call(entry.name, self._hub.clock()):
-            # It may have said so since the order was planned.
+            # It may have asked for a back-off since the order was planned.
             return rollouts.REFUSED
         fence = self._lease.fence
         reply = await self._hub.runners.order(
@@ -223,13 +225,13 @@
             outcome=str(reply),
         )
         if isinstance(reply, runners.Refused) and reply.fenced:
-            # A higher fence was seen there: this one is never used again.
-            self._give_up('fenced')
+            # The target has seen a higher fence, so this one is obsolete.
+            self._drop_claim('fenced')
         return STATES[type(reply)]
 
     async def _wait(self, rollout, entry, order):
         while order.target in rollout.list_loading(self._hub.clock()):
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_PERIOD_S)
             report = await self._read_report(entry, order)
             if isinstance(report, runners.Unanswered):
                 continue
@@ -240,11 +242,13 @@
 
     async def _read_report(self, entry, order):
         if not self._hub.view.may_call(entry.name, self._hub.clock()):
-            return runners.Unanswered('it wants no calls', False)
+            return runners.Unanswered(
+                'calls to the target are excluded', False
+            )
         report = await self._hub.runners.report(entry.address)
         if isinstance(report, runners.Report):
             if report.is_other_life(fleet.read_life(entry.name)):
-                return runners.Unanswered('it has started again', True)
+                return runners.Unanswered('the target has restarted', True)
             version = report.versions.get(order.model)
             if version is not None:
                 self._hub.view.fleet.record_version(
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -1,8 +1,9 @@
-"""Tells the other boxes what this one has under way, and lives on them.
+"""Exchange digests and state with the other boxes.
 
-A box that the platform's store turns away asks its neighbours how fresh
-their table is: an answer proves as much as its own read would, less its
-age.  What they have newer it fetches from them whole.
+Digests report what this box has under way.  A box that gets no answer from
+the platform's store asks its peers how fresh their tables are.  A peer's
+answer proves as much as a read of its own would have, less its age.  If a
+peer has newer state, the box fetches all of it.
 """
 
 import asyncio
@@ -24,32 +25,34 @@
 from landingspool.gateway import state
 from landingspool import http
 
-# Period of the digests, seconds: about the reading of two long prompts
-# (0.1 s each), so that boxes seldom choose the same idle target.
+# Period of the digests, seconds: about the prefill of two long prompts (0.1 s
+# each), so that boxes seldom choose the same idle target.
 DIGEST_S = 0.2
-# Seconds after a digest before which none is sent for a limit that begins: a
-# target that names one with every other answer must not make a storm.
-HURRY_S = 0.05
-# Period of the questions to neighbours.
-ASK_S = 0.4
-# Seconds over the age at which a box reads for itself from which on it asks
-# its neighbours: it has tried by then, at a store that is up or says no.
-ASK_LATER_S = 0.3
-# Seconds by which a neighbour's proof has to be younger to be fetched: where
-# the store answers nobody all have much the same, and states are large.
-GAIN_S = 0.3
-# Boxes that are asked at a time.
-ASKED = 3
+# Minimum seconds between a digest and an urgent one for a limit that begins.
+# A target that names a limit in every other answer must not cause a flood.
+MIN_DIGEST_GAP_S = 0.05
+# Period of the questions to peers about their tables, seconds.
+ASK_PERIOD_S = 0.4
+# Seconds by which the proof must exceed the age at which a box reads the store
+# itself before it asks its peers.  By then it has tried to read the store,
+# which has answered or refused if it works.
+ASK_DELAY_S = 0.3
+# Minimum seconds by which a peer's proof must be newer for its state to be
+# fetched.  If the store answers nobody, all proofs have about the same age,
+# and states are large.
+MIN_GAIN_S = 0.3
+# Boxes that are asked in each period.
+PEERS_ASKED = 3
 STATE_PATH = '/state'
-# Seconds for which a box that starts waits for the list of the others; where
-# the store has not given it by then, each box asks the store for all.
-LISTED_S = 1.2
-# Seconds for a neighbour's whole state.
-FETCH_S = 1.0
+# Seconds for which a starting box waits for the list of the other boxes.  If
+# the store has not answered by then, the box reads all topics from the store.
+LIST_TIMEOUT_S = 1.2
+# Time-out for a peer's state, seconds.
+FETCH_TIMEOUT_S = 1.0
 
 
 class Peering:
-    """This box among the others.
+    """Send and receive digests and state, and select whom to read from.
 
     Parameters
     ----------
@@ -61,14 +64,14 @@
     peers : dict of str to registry.Peer
         The other boxes by name.
     ages : readers.Ages
-        By which sources of tables are taken and left.
+        Ages of proof at which a source of tables is used and left.
     """
 
     def __init__(self, hub):
         self._hub = hub
         self._number = 0
         self._sent = -math.inf
-        self._asks = {}
+        self._asked_at = {}
         self._fetching = False
         self.peers = {}
         self._registry = registry.Registry(hub, self.peers)
@@ -78,37 +81,39 @@
         self._readers = readers.Readers(
             place.box, place.link_mbps, self.ages.old_s
         )
-        self._socket = datagrams.Datagrams(self._take, self._record_bad)
+        self._socket = datagrams.Datagrams(
+            self._receive, self._record_bad_message
+        )
         self._server = http.Server(self._answer)
 
     async def start(self):
-        """Open the sockets and begin to tell."""
+        """Open the sockets and begin to send digests."""
         address = self._hub.place.links
         await self._socket.start(address)
         await self._server.start(*address)
-        self._hub.timer.subscribe(DIGEST_S, self._tell)
-        self._hub.timer.subscribe(ASK_S, self._ask)
+        self._hub.timer.subscribe(DIGEST_S, self._on_digest_period)
+        self._hub.timer.subscribe(ASK_PERIOD_S, self._on_ask_period)
 
     async def run(self):
-        """Keep to what the store lists, until cancelled."""
+        """Follow the list of boxes in the store until cancelled."""
         await self._registry.run()
 
     async def wait_listed(self):
-        """Wait until the other boxes are known, but not for long."""
+        """Wait until the other boxes are known, for LIST_TIMEOUT_S at most."""
         if self._hub.place.links is None:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LISTED_S):
+            async with asyncio.timeout(LIST_TIMEOUT_S):
                 await self._registry.listed.wait()
 
     def find_place(self, subject):
-        """Give the place of this box in the hash order of all boxes."""
+        """Return the rank of this box in the hash order of all boxes."""
         box = self._hub.place.box
         order = ownership.rank(subject, tuple(sorted((*self.peers, box))))
         return order.index(box)
 
     async def leave(self):
-        """Make it known that this box stops."""
+        """Announce through the store that this box stops."""
         await self._registry.leave()
 
     async def close(self):
@@ -117,46 +122,47 @@
         await self._server.close()
 
     def pick_reader(self):
-        """Pick the registry.Peer to read from; None: the store itself.
+        """Return the registry.Peer to read from, or None for the store.
 
-        A box that starts has no proof and reads whole lists of the store:
-        of a reader all boxes of its domain would ask these at once.  That
-        took 4 s with 100 boxes and 1,000 targets, and 30 s with 300 and
-        3,000, over the reader's one link.
+        A starting box has no proof, and reads complete lists from the store.
+        Otherwise all boxes of a domain would request these from one reader
+        at once.  Over the one link of the reader that takes 4 s with 100 boxes
+        and 1,000 targets, and 30 s with 300 boxes and 3,000 targets.
         """
         return self._pick_peer(self._hub.view.proof.age(self._hub.clock()))
 
     def _pick_peer(self, age_s):
         links = {
-            name: self.peers[name].link_mbps for name in self._list_near()
+            name: self.peers[name].link_mbps
+            for name in self._list_domain_peers()
         }
         name = self._readers.pick(links, age_s, self._hub.clock())
         return self.peers.get(name)
 
     def pick_watcher(self):
-        """Pick the registry.Peer that follows the stores of kept context.
+        """Return the registry.Peer that follows the KV cache stores.
 
-        None: this box does.  However old its proof of the tables is, a box
-        goes on with whom it follows: each that began to follow the stores
-        would ask them for whole lists.
+        None means that this box follows them.  However old its proof of the
+        tables is, a box stays with the peer that it follows: each box that
+        began to follow the stores would ask them for complete lists.
         """
         return self._pick_peer(0.0)
 
     def name_reader(self):
-        """Give the name of the box to read from; empty for the store."""
+        """Return the name of the box to read from; empty for the store."""
         reader = self.pick_reader()
         return reader.name if reader is not None else ''
 
     def is_large(self):
-        """Tell whether this domain has boxes that read for others."""
-        return len(self._list_near()) >= readers.MOST_ALONE
+        """Return whether this domain has boxes that read for others."""
+        return len(self._list_domain_peers()) >= readers.MOST_ALONE
 
-    def _list_near(self):
+    def _list_domain_peers(self):
         domain = self._hub.place.domain
         return [n for n, p in self.peers.items() if p.domain == domain]
 
     def shun(self, name, reason):
-        """Note that a box did not answer, or knows nothing new itself."""
+        """Avoid a box that did not answer, or whose state is outdated."""
         now = self._hub.clock()
         self._readers.shun(name, now)
         self._hub.recorder.record(
@@ -168,51 +174,53 @@
         self._hub.sources.leave(name)
 
     def is_shunned(self, name):
-        """Tell whether a box is left at present."""
+        """Return whether a box is avoided at present."""
         return self._readers.is_shunned(name, self._hub.clock())
 
     def record_cut(self, reason):
-        """Note that the store does not answer this box.
+        """Record that the store does not answer this box.
 
-        Where others can be followed it does so, and who follows it is told
-        at once; who has nobody to follow goes on trying.
+        If there are boxes to follow, this one does so, and notifies its own
+        followers at once.  Otherwise it continues to ask the store.
         """
         if self.is_large() and not self.is_cut():
             self.shun(self._hub.place.box, reason)
             self._hub.offer.wake_all()
 
     def is_cut(self):
-        """Tell whether the store failed this box shortly before."""
+        """Return whether the store failed this box shortly before."""
         return self.is_shunned(self._hub.place.box)
 
-    def _tell(self, tick):
+    def _on_digest_period(self, tick):
         view = self._hub.view
-        # The count that divides the retry budget never falls: a box that
-        # is only not heard spends its part all the same.
+        # The count that divides the retry budget never decreases: a box whose
+        # digests don't arrive continues to spend its part.
         view.boxes = max(view.boxes, len(self.peers) + 1)
         domains = [peer.domain for peer in self.peers.values()]
         view.others = dict(collections.Counter(domains))
         if self._registry.was_read:
-            # Without the list a box may believe that it is one of few.
+            # Without the list, this box may know only few of the others.
             view.bars.shares.set_members(
                 self._hub.place.box,
                 (*self.peers, self._hub.place.box),
                 tick.now,
             )
-        view.watching.set_members(self._hub.place.box, self._list_near())
+        view.watching.set_members(
+            self._hub.place.box, self._list_domain_peers()
+        )
         self._send_digest(tick.now)
 
     def hurry(self):
-        """Send a digest at once where a limit has begun.
+        """Send a digest now if a limit has begun.
 
-        What goes to a target until all boxes know of it is over its limit:
-        20 requests in the first half second with digests at their usual
-        period alone, 7 with these (195 boxes, 60 requests a second in all,
-        played on the decisions of tests/gateway/test_limit_load.py).
+        Until all boxes know of a limit, they exceed it.  With digests at
+        their usual period alone, 20 requests exceed it in the first half
+        second; with these, 7 do (195 boxes, 60 requests a second in all, the
+        case of tests/gateway/test_limit_load.py).
         """
         now = self._hub.clock()
         is_urgent = self._hub.view.bars.limits.is_urgent
-        if is_urgent and now - self._sent >= HURRY_S:
+        if is_urgent and now - self._sent >= MIN_DIGEST_GAP_S:
             self._send_digest(now)
 
     def _send_digest(self, now):
@@ -231,43 +239,47 @@
             limits=view.bars.limits.tell(now),
             leaving=view.bars.leaving.tell(now),
         )
-        for address in self._pick_told():
+        for address in self._pick_digest_receivers():
             self._socket.send(digest, address)
 
-    def _ask(self, tick):
-        if self._get_proof_age() < self.ages.old_s + ASK_LATER_S:
+    def _on_ask_period(self, tick):
+        if self._get_proof_age() < self.ages.old_s + ASK_DELAY_S:
             return
-        if not self._hub.timer.ran_since(tick.now - ASK_LATER_S):
-            # Its own read comes first.
+        if not self._hub.timer.ran_since(tick.now - ASK_DELAY_S):
+            # After a stall, this box's own read comes first.
             return
         self._number += 1
-        self._asks = {self._number: tick.now}
+        self._asked_at = {self._number: tick.now}
         ask = neighbours.Ask(self._hub.place.box, self._number)
-        for address in self._pick(ASKED):
+        for address in self._pick(PEERS_ASKED):
             self._socket.send(ask, address)
 
-    def _pick_told(self):
+    def _pick_digest_receivers(self):
         if not self.peers:
             return self._pick(neighbours.FAN_OUT)
-        domain, near, far = self._hub.place.domain, [], []
+        domain, same_domain, other_domains = self._hub.place.domain, [], []
         for peer in self.peers.values():
-            (near if peer.domain == domain else far).append(peer.address)
-        return neighbours.pick_told(near, far, self._hub.view.rng)
+            (same_domain if peer.domain == domain else other_domains).append(
+                peer.address
+            )
+        return neighbours.pick_told(
+            same_domain, other_domains, self._hub.view.rng
+        )
 
-    def _pick(self, most):
-        # The seeds are a start where the store tells of no box.
+    def _pick(self, count):
+        # The seeds are used if the store doesn't list any box.
         known = [peer.address for peer in self.peers.values()]
         known = known or list(self._hub.place.seeds)
-        return random.sample(known, min(most, len(known)))
+        return random.sample(known, min(count, len(known)))
 
     def _get_proof_age(self):
         proof, now = self._hub.view.proof, self._hub.clock()
         return round(proof.age_to_tell(now), 3)
 
-    def _take(self, message, address):
+    def _receive(self, message, address):
         HANDLERS[type(message)](self, message, http.Address(*address))
 
-    def _take_digest(self, digest, address):
+    def _receive_digest(self, digest, address):
         if digest.box == self._hub.place.box:
             return
         if digest.box not in self.peers:
@@ -279,7 +291,7 @@
         self._hub.marks.look()
         self.hurry()
 
-    def _take_ask(self, ask, address):
+    def _receive_ask(self, ask, address):
         view = self._hub.view
         if view.table is None:
             return
@@ -291,8 +303,8 @@
         )
         self._socket.send(tell, address)
 
-    def _take_tell(self, tell, address):
-        asked = self._asks.get(tell.number)
+    def _receive_tell(self, tell, address):
+        asked = self._asked_at.get(tell.number)
         if asked is None:
             return
         if not self._is_worth_fetching(tell):
@@ -307,7 +319,7 @@
         if table is None or tell.table > table.version:
             return True
         age_s = self._hub.view.proof.age(self._hub.clock())
-        return tell.proof_s < age_s - GAIN_S
+        return tell.proof_s < age_s - MIN_GAIN_S
 
     def _end_fetch(self, work):
         self._fetching = False
@@ -315,20 +327,20 @@
             self._hub.recorder.record('fault', reason=repr(work.exception()))
 
     async def _fetch(self, address):
-        """Fetch a neighbour's state; it proves what it says of its age."""
+        """Fetch and apply a peer's state, with the proof that it contains."""
         sent = self._hub.clock()
         try:
-            given = await boxcalls.fetch(
+            snapshot = await boxcalls.fetch(
                 self._hub.client,
                 address,
                 state.Given,
                 ('GET', STATE_PATH),
-                timeout=FETCH_S,
+                timeout=FETCH_TIMEOUT_S,
             )
         except boxcalls.NoAnswer as error:
             self._hub.recorder.record('no_state', reason=str(error))
             return
-        self._hub.state.take(given, sent)
+        self._hub.state.take(snapshot, sent)
 
     async def _answer(self, request, exchange):
         answer = ANSWERS.get(request.path)
@@ -338,10 +350,10 @@
         await answer(self, request, exchange)
 
     async def _answer_state(self, request, exchange):
-        given = msgspec.to_builtins(
+        snapshot = msgspec.to_builtins(
             self._hub.state.give(), builtin_types=[bytes]
         )
-        await boxcalls.answer(exchange, given)
+        await boxcalls.answer(exchange, snapshot)
 
     async def _answer_records(self, request, exchange):
         await self._hub.offer.answer_records(request, exchange)
@@ -352,14 +364,14 @@
     async def _answer_changes(self, request, exchange):
         await self._hub.cachewatch.answer_changes(request, exchange)
 
-    def _record_bad(self, reason):
+    def _record_bad_message(self, reason):
         self._hub.recorder.record('bad_message', reason=reason)
 
 
 HANDLERS = {
-    neighbours.Digest: Peering._take_digest,
-    neighbours.Ask: Peering._take_ask,
-    neighbours.Tell: Peering._take_tell,
+    neighbours.Digest: Peering._receive_digest,
+    neighbours.Ask: Peering._receive_ask,
+    neighbours.Tell: Peering._receive_tell,
 }
 
 
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -1,18 +1,19 @@
-"""Tries to connect to targets that are out, so that no request has to.
+"""Probe unreachable targets so that no request has to try them.
 
-A connection that comes up is kept for the next request to that target.
+A connection that is established stays open for the next request to its
+target.
 """
 
 import asyncio
 
 from landingspool.gateway import upstream
 
-# Period of the looks for targets that are due, seconds.
+# Period at which targets are checked for a due probe, seconds.
 LOOK_S = 0.1
 
 
 class Prober:
-    """Probes the targets that `reach` lists as due.
+    """Probe the targets that `reach` lists as due.
 
     Parameters
     ----------
@@ -25,29 +26,29 @@
         self._probing = {}
 
     def record_failed(self, name, reason):
-        """Note that a connection did not come up, or that its path died."""
+        """Record that a connection failed, or that its path is dead."""
         view = self._hub.view
         if name not in view.reach.list_failed():
             self._hub.recorder.record('unreached', target=name, reason=reason)
         view.record_unreached(name, self._hub.clock())
 
     def look(self, tick):
-        """Begin a probe of each target that is due."""
+        """Start a probe of each target that is due."""
         for name in self._hub.view.reach.list_due(tick.now):
             if name not in self._probing and self._may_probe(name, tick.now):
-                self._begin(name)
+                self._start_probe(name)
 
     def _may_probe(self, name, now):
         view = self._hub.view
-        # The probe of one that is gone ends what is known of its path.
+        # The probe of a target that is gone discards the state of its path.
         return name not in view.fleet.entries or view.may_call(name, now)
 
-    def _begin(self, name):
+    def _start_probe(self, name):
         work = asyncio.ensure_future(self._probe(name))
         self._probing[name] = work
-        work.add_done_callback(lambda done: self._end(name, done))
+        work.add_done_callback(lambda done: self._on_probe_end(name, done))
 
-    def _end(self, name, work):
+    def _on_probe_end(self, name, work):
         del self._probing[name]
         if not work.cancelled() and work.exception() is not None:
             self._hub.recorder.record('fault', reason=repr(work.exception()))
@@ -58,7 +59,7 @@
         if entry is None:
             view.reach.forget(name)
             return
-        known = name in view.reach.list_failed()
+        was_failed = name in view.reach.list_failed()
         try:
             await self._hub.upstream.probe(
                 entry.address, view.find_kept(entry.service)
@@ -67,7 +68,7 @@
             if name in view.fleet.entries:
                 self.record_failed(name, str(error))
             return
-        if known:
+        if was_failed:
             view.record_back(name, self._hub.clock())
             self._hub.recorder.record('reached', target=name)
         else:
--- a/landingspool/gateway/registry.py
+++ b/landingspool/gateway/registry.py
@@ -1,11 +1,11 @@
-"""Makes this box known through the platform's store, and reads of others.
+"""Register this box in the platform's store, and read the other boxes there.
 
-The list is a start and a check: digests between boxes tell of new ones
-much sooner.  So it is read seldom, and an entry that is not renewed stays
-until its box says that it stops.
+The list is a start and a check: digests between boxes announce new boxes much
+sooner.  So it is read seldom, and an entry that is not renewed stays until its
+box announces that it stops.
 
-It is read before anything else: a box that knows the others follows one of
-these as soon as it has read the store once.
+It is read before anything else.  A box that knows the others follows one of
+them as soon as it has read the store once.
 """
 
 import asyncio
@@ -18,21 +18,21 @@
 from landingspool.platform import names
 from landingspool.platform import store as store_module
 
-# Period of the reads of the list, seconds: a call of each box, and digests
-# tell of new boxes within a second.  Where there are more boxes than so many
-# it is longer, so that all together ask no more often.
-BOXES_S = 30.0
-USUAL_BOXES = 8
-# Seconds from this box's entry to the second reading of the list where the
-# whole system starts: all boxes start within 0.3 s, and the store takes the
-# entries of 195 of them one after the other, in 0.4 s.
-GATHERING_S = 0.8
-# Pause between two tries to tell the store of this box, seconds.
-REGISTER_S = 0.7
+# Period of the reads of the list, seconds.  Each read is one call of each box,
+# and digests announce new boxes within a second.  With more boxes than
+# BASE_BOXES the period is longer, so that all together ask no more often.
+LIST_PERIOD_S = 30.0
+BASE_BOXES = 8
+# Seconds from this box's registration to its read of the list when the whole
+# system starts.  All boxes start within 0.3 s, and the store takes the entries
+# of 195 boxes one after the other, in 0.4 s.
+START_GATHERING_S = 0.8
+# Pause between two attempts to register this box, seconds.
+REGISTER_RETRY_S = 0.7
 
 
 class Peer(typing.NamedTuple):
-    """Another box."""
+    """Another box, its address and domain, and its link in Mbit/s."""
 
     name: str
     address: http.Address
@@ -41,21 +41,22 @@
 
 
 class Registry:
-    """The boxes that the store lists.
+    """Register this box, and keep the peers that the store lists.
 
     Parameters
     ----------
     hub
         The box's parts: `place`, `store`, `view`, `clock`.
     peers : dict of str to Peer
-        The other boxes by name, kept up to date in place.
+        The other boxes by name, updated in this object.
 
     Attributes
     ----------
     listed : asyncio.Event
-        Set once the other boxes are known, as far as the store tells.
+        Set once the list of the other boxes has been requested, also if
+        the store did not answer.
     was_read : bool
-        Whether the store has ever told which boxes there are.
+        Whether the store has ever answered with the list.
     """
 
     def __init__(self, hub, peers):
@@ -65,41 +66,41 @@
         self.was_read = False
 
     async def run(self):
-        """Make this box known, and learn now and then which others are."""
+        """Register this box, and read the list of boxes periodically."""
         if not self._hub.place.first_start:
-            await self._begin()
+            await self._read_first_list()
         await self._register()
         if self._hub.place.first_start:
-            await asyncio.sleep(GATHERING_S)
-            await self._begin()
+            await asyncio.sleep(START_GATHERING_S)
+            await self._read_first_list()
         while True:
-            # Spread, since all boxes start at once.
-            await asyncio.sleep(self._find_period() * random.uniform(0.5, 1.5))
+            # The period varies, since all boxes may start at once.
+            await asyncio.sleep(self._get_period() * random.uniform(0.5, 1.5))
             await self._read_list()
 
-    async def _begin(self):
-        """Read the list for the first time, and let the others go on."""
+    async def _read_first_list(self):
+        """Read the list for the first time, and wake those who wait."""
         await self._read_list()
         self.listed.set()
 
     async def _read_list(self):
         newest = await self._hub.store.read_newest(names.BOXES_TOPIC)
         if isinstance(newest, store_module.Newest):
-            self._take(newest)
+            self._apply_list(newest)
             self.was_read = True
 
-    def _find_period(self):
+    def _get_period(self):
         boxes = len(self._peers) + 1
-        return BOXES_S * max(boxes / USUAL_BOXES, 1.0)
+        return LIST_PERIOD_S * max(boxes / BASE_BOXES, 1.0)
 
     async def leave(self):
-        """Make it known that this box stops."""
+        """Remove this box from the store, since it stops."""
         await self._hub.store.append(
             names.BOXES_TOPIC, self._hub.place.box, b''
         )
 
     async def _register(self):
-        """Make this box known through the store; ends when it is."""
+        """Write this box into the store, until that has succeeded."""
         place = self._hub.place
         row = write_peer(place.links, place.domain, place.link_mbps)
         while True:
@@ -108,23 +109,23 @@
             )
             if isinstance(reply, store_module.Appended):
                 return
-            await asyncio.sleep(REGISTER_S)
+            await asyncio.sleep(REGISTER_RETRY_S)
 
-    def _take(self, newest):
+    def _apply_list(self, newest):
         listed = {}
         for key, value, _ in newest.records:
             peer = read_peer(key, value)
             if peer is not None and key != self._hub.place.box:
                 listed[key] = peer
-        heard = self._hub.view.neighbours.list_heard(self._hub.clock())
+        recent = self._hub.view.neighbours.list_heard(self._hub.clock())
         for name in list(self._peers):
-            if name not in listed and name not in heard:
+            if name not in listed and name not in recent:
                 del self._peers[name]
         self._peers.update(listed)
 
 
 def write_peer(address, domain, link_mbps):
-    """Give the record of a box.
+    """Return the record of a box.
 
     >>> write_peer(http.Address('10.0.0.1', 8002), 'd1', 5.0)
     b'{"address": "10.0.0.1:8002", "domain": "d1", "link_mbps": 5.0}'
@@ -138,7 +139,7 @@
 
 
 def read_peer(name, value):
-    """Give the Peer in a box's record; None where there is none.
+    """Return the Peer in a box's record, or None if it has none.
 
     >>> row = write_peer(http.Address('10.0.0.1', 8002), 'd1', 5.0)
     >>> read_peer('b', row).address, read_peer('b', row).link_mbps
--- a/landingspool/gateway/sources.py
+++ b/landingspool/gateway/sources.py
@@ -1,10 +1,10 @@
-"""Where a box reads the platform's topics: the store, or another box.
+"""Read the platform's topics from its store or from another box.
 
 In a large domain few boxes read the store, and the others ask these for the
 same records by the same offsets.  A read ends as soon as its source has
-failed, and the next source is asked at once: a box that the store does not
-answer tells so with whatever it is asked, and one that is behind in a topic
-is not believed.
+failed, and the next source is asked at once.  A box that gets no answer from
+the store says so in all its answers.  The answer of a box that is behind in a
+topic is rejected.
 """
 
 import asyncio
@@ -21,21 +21,26 @@
 
 RECORDS_PATH = '/records'
 NEWEST_PATH = '/newest'
-# Seconds for an answer beyond the hold; boxes of one domain are near.
-ANSWER_S = 0.4
+# Time-out for an answer beyond the hold, seconds.  It is short, since boxes of
+# one domain are near each other.
+ANSWER_TIMEOUT_S = 0.4
 
 
 class Relayed(msgspec.Struct):
-    """An answer of another box.
+    """Records as another box has read them.
 
     Attributes
     ----------
+    records : list of tuple
+        Key, value and offset of each record.
+    end : int
+        Offset after the last record.
     age : float
-        Of its own proof, seconds.
+        Age of the proof of the box that answers, seconds.
     gone : bool
-        Whether the records asked for are no longer there.
+        Whether the requested records are no longer available.
     cut : bool
-        Whether the store failed it shortly before.
+        Whether the store failed that box shortly before.
     """
 
     records: list[tuple[str, bytes, int]]
@@ -46,7 +51,7 @@
 
 
 class Sources:
-    """Reads topics from the box or store that is to be read from.
+    """Read topics from the store, or from the peer that reads for this box.
 
     Parameters
     ----------
@@ -56,45 +61,45 @@
     Attributes
     ----------
     failed_at : float or None
-        When a source last failed this box.
+        When a source last failed this box, seconds of the clock.
     """
 
     def __init__(self, hub):
         self._hub = hub
-        self._leaving = {}
+        self._aborts = {}
         self._answered = asyncio.Event()
         self.failed_at = None
 
     def exclude_stall(self, seconds):
-        """Leave out seconds for which this box did not run."""
+        """Don't count the seconds of a stall of this process."""
         if self.failed_at is not None:
             self.failed_at += seconds
 
     def leave(self, name):
-        """End what this box still asks of a source that has failed.
+        """Abort the pending reads of a source that has failed.
 
-        A long hold would otherwise keep the news back that another source
-        has.  The store's name here is that of this box.
+        Otherwise a long hold would delay the updates that another source has.
+        The name of the store here is that of this box.
         """
-        leaving = self._leaving.pop(name, None)
-        if leaving is not None:
-            leaving.set_result(None)
+        abort = self._aborts.pop(name, None)
+        if abort is not None:
+            abort.set_result(None)
 
     async def read(self, topic, start, hold_s):
-        """Read records; the outcomes are those of store.Store.read."""
+        """Read records with the outcomes of store.Store.read."""
         return await self._read_any(
             lambda: self._hub.store.read(topic, start, hold_s),
             lambda peer: self._read_box(peer, topic, start, hold_s),
         )
 
     async def read_newest(self, topic, least_end):
-        """Read the newest of each key; as store.Store.read_newest.
+        """Read the newest record of each key, like store.Store.read_newest.
 
         Parameters
         ----------
         least_end : int
-            Where the topic ended as far as this box knows: another box that
-            has not come so far is not believed.
+            End of the topic as far as this box knows.  The answer of another
+            box whose end is lower is rejected.
         """
         return await self._read_any(
             lambda: self._hub.store.read_newest(topic),
@@ -104,7 +109,7 @@
     async def _read_any(self, read_store, read_box):
         """Ask one source after the other, until one answers or none is left.
 
-        Each one that fails is not picked again for a time.
+        A source that fails is not picked again for some time.
         """
         peering = self._hub.peering
         while True:
@@ -121,7 +126,7 @@
                 return reply
 
     async def wait_answered(self, most_s):
-        """Wait until any read is answered, but no longer than `most_s`."""
+        """Wait until any read is answered, for `most_s` seconds at most."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(most_s):
                 await self._answered.wait()
@@ -131,11 +136,11 @@
         self._answered = asyncio.Event()
 
     async def _read_store(self, reading):
-        """Read the store, unless another read finds that it is away."""
+        """Read the store, unless another read finds it unreachable."""
         sent = self._hub.clock()
         reply = await self._wait(self._hub.place.box, reading)
         if reply is None:
-            return store_module.Unavailable('the store: left', False)
+            return store_module.Unavailable('the store: read aborted', False)
         failed = isinstance(reply, store_module.Unavailable)
         if failed and self._hub.timer.ran_since(sent):
             self._hub.peering.record_cut(reply.reason)
@@ -148,12 +153,14 @@
             return reply
         answer, sent = reply
         if answer.end < start:
-            return self._reject(peer, f'it ends at {answer.end} of {start}')
+            return self._reject(
+                peer, f'its topic ends at {answer.end}, before {start}'
+            )
         if answer.gone:
             return store_module.Forgotten()
         if readers.is_stale(answer.age, hold_s, self._hub.peering.ages.old_s):
-            # It can't read itself; what it gave is good as far as it goes.
-            self._shun(peer, f'its word is {answer.age:.2f} s old')
+            # This peer can't read the store, but its records are valid.
+            self._avoid(peer, f'its proof is {answer.age:.2f} s old')
         rows = read_rows(answer)
         return store_module.Page(rows, answer.end, sent - answer.age)
 
@@ -163,28 +170,28 @@
             return reply
         answer, sent = reply
         if answer.gone:
-            return self._reject(peer, 'it knows nothing')
+            return self._reject(peer, 'it has no records of the topic')
         if answer.end < least_end:
-            return self._reject(peer, f'it ends at {answer.end}')
+            return self._reject(peer, f'its topic ends at {answer.end}')
         rows = read_rows(answer)
         return store_module.Newest(rows, answer.end, sent - answer.age)
 
     def _reject(self, peer, reason):
-        """Leave a box whose answer is of no use."""
-        self._shun(peer, reason)
+        """Avoid a box whose answer is unusable."""
+        self._avoid(peer, reason)
         return store_module.Unavailable(f'{peer.name}: {reason}', False)
 
-    def _shun(self, peer, reason):
+    def _avoid(self, peer, reason):
         if not self._hub.peering.is_shunned(peer.name):
             self._hub.peering.shun(peer.name, reason)
 
     async def _fetch(self, peer, path, query, hold_s):
-        """Ask a box until it answers or is left.
+        """Ask a box, until it answers or its reads are aborted.
 
         Returns
         -------
         tuple of (Relayed, float) or store.Unavailable
-            The answer, and when it was asked for.
+            The answer, and when the request was sent.
         """
         sent = self._hub.clock()
         asking = self._ask(peer, path, query, hold_s)
@@ -193,19 +200,21 @@
         except boxcalls.NoAnswer as error:
             return store_module.Unavailable(f'{peer.name}: {error}', False)
         if answer is None:
-            return store_module.Unavailable(f'{peer.name}: left', False)
+            return store_module.Unavailable(
+                f'{peer.name}: read aborted', False
+            )
         if answer.cut:
-            # What it has is good, but the next one is asked from here on.
+            # The records are valid, but the next reads go to another source.
             self.failed_at = self._hub.clock()
-            self._shun(peer, 'the store fails it')
+            self._avoid(peer, 'the store does not answer it')
         return answer, sent
 
     async def _wait(self, name, asking):
-        """Wait for an answer; None where its source is left before it."""
+        """Wait for an answer; return None if its source is left first."""
         call = asyncio.ensure_future(asking)
         try:
             await asyncio.wait(
-                {call, self._get_leaving(name)},
+                {call, self._get_abort(name)},
                 return_when=asyncio.FIRST_COMPLETED,
             )
             return call.result() if call.done() else None
@@ -218,37 +227,37 @@
             peer,
             Relayed,
             ('GET', f'{path}?{parse.urlencode(query)}'),
-            timeout=hold_s + ANSWER_S,
+            timeout=hold_s + ANSWER_TIMEOUT_S,
         )
 
-    def _get_leaving(self, name):
-        """Give the future that ends when the source of this name is left."""
-        leaving = self._leaving.get(name)
-        if leaving is None:
-            leaving = asyncio.get_running_loop().create_future()
-            self._leaving[name] = leaving
-        return leaving
+    def _get_abort(self, name):
+        """Return the future that is done when a source is left."""
+        abort = self._aborts.get(name)
+        if abort is None:
+            abort = asyncio.get_running_loop().create_future()
+            self._aborts[name] = abort
+        return abort
 
 
 def read_rows(answer):
-    """Give the tail.Record in an answer of another box."""
+    """Return the tail.Records in an answer of another box."""
     return tuple(tail_module.Record(*row) for row in answer.records)
 
 
 class Offer:
-    """Answers the boxes that read from this one.
+    """Answer the boxes that read from this one.
 
     Parameters
     ----------
     is_cut : callable
-        Tells whether the store failed this box shortly before.
+        Returns whether the store failed this box shortly before.
     clock : callable, optional
-        Gives monotonic seconds.
+        Returns monotonic seconds.
 
     Attributes
     ----------
     relayed_bytes : int
-        Bytes of keys and values that other boxes were answered.
+        Bytes of keys and values that were sent to other boxes.
     """
 
     def __init__(self, is_cut, clock=uptime.read):
@@ -259,17 +268,17 @@
         self._changed = {}
 
     def add(self, topic, tail):
-        """Offer a topic."""
+        """Answer reads of a topic from its tail."""
         self._tails[topic] = tail
         self._changed[topic] = asyncio.Event()
 
     def wake(self, topic):
-        """Answer the reads that are held, since there is something new."""
+        """Answer the held reads of a topic, since it has a new record."""
         self._changed[topic].set()
         self._changed[topic] = asyncio.Event()
 
     def wake_all(self):
-        """Answer all reads that are held, since this box is cut off."""
+        """Answer all held reads, since the store fails this box."""
         for topic in self._changed:
             self.wake(topic)
 
@@ -286,7 +295,7 @@
         await self._send(exchange, tail, tail.read(start))
 
     async def answer_newest(self, request, exchange):
-        """Answer a read of the newest of each key."""
+        """Answer a read of the newest record of each key."""
         tail = self._tails.get(request.query.get('topic', ''))
         found = None
         if tail is not None and tail.end is not None:
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -1,7 +1,7 @@
-"""What this box has read of the platform, to give it whole to another box.
+"""Keep the records that this box has read, to send them to another box.
 
-Tables and targets are kept as they were written, so that a box that can't
-reach the platform's store reads them as if it had.
+Tables and targets are kept as they were written.  A box that can't reach the
+platform's store reads them as if they came from the store.
 """
 
 import msgspec
@@ -12,28 +12,28 @@
 
 
 class Given(msgspec.Struct):
-    """What one box gives another.
+    """Contain the state that one box sends to another.
 
     Attributes
     ----------
     proof_s : float
-        Age of the proof of the table.
+        Age of the proof of the table, seconds.
     table : bytes or None
-        As it was written; None before any was read.
+        As it was written, or None before any was read.
     versions : dict of str to int
         The newest named version of the weights of each model.
     targets : dict of str to bytes
-        As they were written.
+        Their entries as they were written, by target.
     targets_end : int
-        Where their topic ended for the box that gives.
+        End offset of their topic for the box that sends them.
     evacuated : list of str
         The evacuated failure domains.
     endings : list of neighbours.CrashNotice
-        The requests under which targets ended.
+        The requests that crashed targets.
     limits : list of neighbours.LimitNotice
-        The limits that targets name.
+        The limits that targets advertise.
     leaving : list of neighbours.LeavingNotice
-        The targets that have said that they leave.
+        The targets that have announced that they leave.
     """
 
     proof_s: float
@@ -48,7 +48,7 @@
 
 
 class State:
-    """The records behind what this box believes.
+    """Apply tables, evacuations and targets, and keep their records.
 
     Parameters
     ----------
@@ -58,9 +58,9 @@
     Attributes
     ----------
     target_values : dict of str to bytes
-        The newest record of each target that can be read, by its id.
+        The newest valid record of each target, by the target's id.
     targets_end : int
-        Where their topic ended when they were read or given.
+        End offset of their topic when they were read or fetched.
     """
 
     def __init__(self, hub):
@@ -87,7 +87,7 @@
             )
 
     def give(self):
-        """Give what another box needs that can't reach the store."""
+        """Return what a box needs that can't reach the store."""
         versions = {m: n.version for m, n in self._view.weights.named.items()}
         return Given(
             proof_s=self._view.proof.age_to_tell(self._hub.clock()),
@@ -102,25 +102,25 @@
         )
 
     def take(self, given, sent):
-        """Take in what another box gave when it was asked at `sent`."""
+        """Apply the state that another box sent when asked at `sent`."""
         now = self._hub.clock()
-        for word in given.endings:
-            self._view.endings.take(word, now)
+        for notice in given.endings:
+            self._view.endings.take(notice, now)
         for limit in given.limits:
             self._view.bars.limits.take(limit, '', sent)
-        for word in given.leaving:
-            self._view.bars.leaving.take(word, '', sent)
+        for notice in given.leaving:
+            self._view.bars.leaving.take(notice, '', sent)
         if given.table is None:
             return
         self.take_table(given.table)
         if sent - given.proof_s > now - self._view.proof.age(now):
-            # Its word of what stands is newer than this box's own.
+            # The peer's list of evacuations is newer than this box's own.
             self.set_evacuated(given.evacuated)
         for model, version in given.versions.items():
             self._view.weights.put_version(model, version, now)
         if given.targets_end >= self.targets_end:
             # An older list would bring back targets that are gone.
-            self._take_targets(given.targets)
+            self._apply_targets(given.targets)
             self.targets_end = given.targets_end
         self._view.proof.record(sent - given.proof_s)
         self._hub.recorder.record(
@@ -130,7 +130,7 @@
         )
 
     def put_evacuation(self, domain, stands):
-        """Take in that a domain's evacuation was put or withdrawn."""
+        """Apply that a domain's evacuation was ordered or withdrawn."""
         now = self._hub.clock()
         if stands and self._view.bars.evacuation.put(domain, now):
             self._hub.recorder.record('evacuated', domain=domain)
@@ -138,17 +138,17 @@
             self._hub.recorder.record('evacuation_over', domain=domain)
 
     def set_evacuated(self, domains):
-        """Take in all evacuations that stand."""
+        """Replace the evacuated domains by those listed."""
         for domain in self._view.bars.evacuation.find_ended(domains):
             self.put_evacuation(domain, False)
         for domain in domains:
             self.put_evacuation(domain, True)
 
     def put_target(self, target, value):
-        """Take in what was written of a target.
+        """Apply the record of a target.
 
-        What can't be read names no target to use; it may be read again later,
-        so that what was learnt of the target stays.
+        A malformed record names no target to use.  A later one may be valid
+        again, so what is known of the target is not discarded.
         """
         try:
             entry = catalogue.read_entry(target, value)
@@ -156,7 +156,7 @@
             self._hub.recorder.record(
                 'malformed', key=target, reason=str(error)
             )
-            self._lose_target(target, False)
+            self._remove_target(target, False)
             return
         self._put_entry(entry, value)
 
@@ -169,7 +169,7 @@
             return
         self.target_values[entry.target] = value
         if before != entry.name:
-            # What is at rest there is of a life that is over.
+            # Idle connections there belong to an earlier incarnation.
             self._hub.upstream.drop(entry.address)
         if before not in (None, entry.name):
             self._hub.recorder.record(
@@ -188,35 +188,35 @@
                 cold_s=entry.cold_s,
             )
 
-    def drop_target(self, target, unsure):
-        """Take in that a target is no longer listed.
+    def drop_target(self, target, unconfirmed):
+        """Apply that a target is no longer listed.
 
         Parameters
         ----------
-        unsure : bool
-            Whether its entry may have lapsed though the target lives.
+        unconfirmed : bool
+            Whether its entry may have lapsed though the target still runs.
         """
-        name = self._lose_target(target, unsure)
-        if name is not None and not unsure:
+        name = self._remove_target(target, unconfirmed)
+        if name is not None and not unconfirmed:
             self._view.record_over(name, self._hub.clock())
 
-    def _lose_target(self, target, unsure):
-        """Take a target off the list; gives the name of its life."""
+    def _remove_target(self, target, unconfirmed):
+        """Remove a target from the list; return its incarnation's name."""
         fleet = self._view.fleet
         self.target_values.pop(target, None)
         name = fleet.find_life(target)
         if name in fleet.entries:
             self._hub.recorder.record(
-                'target_down', target=name, sure=not unsure
+                'target_down', target=name, sure=not unconfirmed
             )
-        fleet.drop(name, self._hub.clock(), unsure)
+        fleet.drop(name, self._hub.clock(), unconfirmed)
         return name
 
-    def _take_targets(self, values):
+    def _apply_targets(self, values):
         for name, value in values.items():
             if value != self.target_values.get(name):
                 self.put_target(name, value)
         for target in self._view.fleet.list_targets():
             if target not in values:
-                # Whether it is gone, or only its entry, is not known here.
+                # The target may still run: only its entry may be gone.
                 self.drop_target(target, True)
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -1,10 +1,13 @@
-"""Frees what is of no use any more in the stores of kept context.
+"""Free KV cache parts in the stores that no request can use any more.
 
-Parts of replaced weights any box that follows the stores itself may free, and
-it does no harm if several do: they look at different moments, so mostly the
-first one does all.  Parts that broke off one box frees, the store's owner
-among the boxes that are heard, right after it has read the store's whole
-list; it tells the others how much of the store's room is taken.
+Parts of replaced weights may be freed by any box that follows the stores
+itself.  If several boxes do so it is harmless; they check at different times,
+so mostly the first one frees all.
+
+Abandoned parts, whose write was never completed and no longer advances, are
+freed by one box only: the owner of the store among the boxes that are known.
+It does so right after it has read the complete list of the store, and reports
+to the others how much of the store's capacity is taken.
 """
 
 import asyncio
@@ -14,19 +17,19 @@
 from landingspool.platform import boot
 from landingspool.platform import runners
 
-# Seconds between two looks, spread evenly between both.
+# Range of the seconds between two checks, spread evenly.
 LOOK_S = 0.8, 2.4
-# Seconds between two whole lists of a store by its owner.  One in a hundred
-# events is lost, and parts that broke off are told of in lists alone; each
+# Seconds between two complete lists that the owner reads of a store.  One in a
+# hundred events is lost, and abandoned parts are reported in lists only.  Each
 # list is some ten kilobytes.
-LIST_S = 6.0
-# Seconds within which a part found broken off has to be freed: it must not
-# be one that somebody writes anew.
-FREE_S = 0.2
+LIST_PERIOD_S = 6.0
+# Seconds within which an abandoned part must be freed after it is found.
+# After that, someone may be writing it again.
+FREE_WITHIN_S = 0.2
 
 
 class Sweeper:
-    """Frees what no request can use any more.
+    """Free what no request can use any more.
 
     Parameters
     ----------
@@ -37,51 +40,51 @@
 
     def __init__(self, hub):
         self._hub = hub
-        self._leftovers = leftovers.Leftovers()
-        self._broken = leftovers.Broken()
+        self._garbage = leftovers.Leftovers()
+        self._abandoned = leftovers.Broken()
         self._listed = {}
 
     async def run(self):
-        """Look and free until cancelled."""
+        """Check and free until cancelled."""
         while True:
             await asyncio.sleep(self._hub.view.rng.uniform(*LOOK_S))
             owned = self._list_owned()
-            self._forget_rooms(owned)
-            for address in self._list_due(owned):
+            self._drop_unowned_counts(owned)
+            for address in self._list_due_stores(owned):
                 await self._check(address)
-            for model, least in self._list_free():
-                await self._free_all(model, least)
+            for model, min_version in self._list_garbage():
+                await self._free_all(model, min_version)
 
-    def _list_free(self):
-        """List each model and the version before which all may be freed."""
+    def _list_garbage(self):
+        """List models, each with the version before which all is garbage."""
         view, now = self._hub.view, self._hub.clock()
         found = []
         for model in view.weights.named:
-            least = leftovers.find_least(
+            min_version = leftovers.find_least(
                 model, view.fleet, view.list_services()
             )
-            before = self._leftovers.record(model, least, now)
+            before = self._garbage.record(model, min_version, now)
             if before is not None:
                 found.append((model, before))
         return found
 
-    async def _free_all(self, model, least):
-        """Free the parts of a model's versions before one in all stores."""
+    async def _free_all(self, model, min_version):
+        """Free the parts of versions before `min_version` in all stores."""
         view = self._hub.view
         table = view.table
         if table is None or self._hub.peering.pick_watcher() is not None:
             return
-        for address, keeper in table.keepers.items():
-            if keeper.managed:
-                await self._free(address, model, least)
+        for address, store in table.keepers.items():
+            if store.managed:
+                await self._free(address, model, min_version)
 
-    async def _free(self, address, model, least):
-        """Free these parts in one store, as far as one call does."""
+    async def _free(self, address, model, min_version):
+        """Free these parts in one store, as many as one call frees."""
         view, now = self._hub.view, self._hub.clock()
         index = view.warmth.get(address)
         if index is None or not view.warmth.may_fetch(address, now):
             return
-        parts = leftovers.list_old(index.kept, model, least)
+        parts = leftovers.list_old(index.kept, model, min_version)
         if not parts or not self._hub.heartbeat.is_fresh(now):
             return
         age_s = now - index.confirmed
@@ -90,65 +93,69 @@
             boot.parse_address(address), index.epoch, parts, until_ms
         )
         self._hub.recorder.record(
-            'swept', store=address, parts=len(parts), before=least, done=done
+            'swept',
+            store=address,
+            parts=len(parts),
+            before=min_version,
+            done=done,
         )
 
     def _list_owned(self):
-        """List the stores that this box owns among the boxes it knows."""
+        """List the stores that this box owns among the known boxes."""
         table = self._hub.view.table
         if table is None:
             return []
         boxes = [self._hub.place.box, *self._hub.peering.peers]
         return [
             address
-            for address, keeper in table.keepers.items()
-            if keeper.managed
+            for address, store in table.keepers.items()
+            if store.managed
             and ownership.find_owner(address, boxes) == self._hub.place.box
         ]
 
-    def _forget_rooms(self, owned):
-        """Tell the others no more of stores that another box owns now.
+    def _drop_unowned_counts(self, owned):
+        """Stop reporting the stores that another box owns now.
 
-        Its count is newer, and both would be taken in by turns.
+        The count of the new owner is newer; peers would apply both in turn.
         """
         rooms = self._hub.view.rooms
         for address in [name for name in rooms if name not in owned]:
             del rooms[address]
 
-    def _list_due(self, owned):
-        """List the stores of this box whose whole list is due."""
+    def _list_due_stores(self, owned):
+        """List the owned stores whose complete list is due."""
         now = self._hub.clock()
         return [
             address
             for address in owned
-            if now - self._listed.get(address, -LIST_S) >= LIST_S
+            if now - self._listed.get(address, -LIST_PERIOD_S) >= LIST_PERIOD_S
         ]
 
     async def _check(self, address):
-        """Read the whole list of a store, and free what broke off."""
+        """Read the complete list of a store and free abandoned parts."""
         hub, warmth = self._hub, self._hub.view.warmth
         index = warmth.get(address)
         if index is None or index.clock_ms is None:
             return
         clock_ms, asked = index.clock_ms, index.confirmed
         sent = hub.clock()
-        news = await hub.runners.read_list(boot.parse_address(address))
+        updates = await hub.runners.read_list(boot.parse_address(address))
         now = hub.clock()
-        if isinstance(news, runners.Unanswered) or not hub.heartbeat.is_fresh(
-            now
-        ):
+        if isinstance(
+            updates, runners.Unanswered
+        ) or not hub.heartbeat.is_fresh(now):
             return
         self._listed[address] = now
-        if news.epoch != index.epoch:
-            # A new life: who follows the store begins it.
+        if updates.epoch != index.epoch:
+            # The store has restarted: its follower applies the new epoch.
             return
-        warmth.take(address, news._replace(clock_ms=clock_ms), sent, now)
+        warmth.take(address, updates._replace(clock_ms=clock_ms), sent, now)
         index = warmth.get(address)
         hub.view.rooms[address] = index.epoch, index.taken
-        parts = self._broken.record(address, index, now)
+        parts = self._abandoned.record(address, index, now)
         if not parts:
             return
-        until_ms = clock_ms + (now - asked + FREE_S) * 1000
+        until_ms = clock_ms + (now - asked + FREE_WITHIN_S) * 1000
         done = await hub.runners.free(
             boot.parse_address(address), index.epoch, parts, until_ms
         )
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -1,4 +1,4 @@
-"""What a box believes of tables, keys and targets, and for how long."""
+"""How long a box uses tables, keys and targets that it has read."""
 
 import asyncio
 import json
@@ -72,12 +72,12 @@
         await site.wait_until(lambda: 'box2' in first.peering.peers)
         away = second.store
         second.store = Away()
-        # What is held at the store now must not bring the news.
+        # Reads that the store holds now must end before the new table.
         await asyncio.sleep(following.Targets.hold_s + 0.2)
         deployment.publish(site.make_table(9))
         await site.wait_until(lambda: second.view.table.version == 9, 5.0)
         assert second.view.proof.age(second.clock()) < 3.0
-        # What the neighbour tells of targets is logged like the store's own.
+        # Targets in a peer's state are logged like those from the store.
         deployment.announce(deployment.plain[0], 'plain', state='draining')
         await site.wait_until(
             lambda: 'p0' not in second.view.fleet.entries, 6.0
@@ -90,7 +90,7 @@
 
 
 class Away:
-    """A store that can't be reached."""
+    """A store that is unreachable."""
 
     async def read(self, topic, start, hold_s):
         """Fail."""
@@ -121,7 +121,7 @@
 
 
 def make_entry(name='t', state=fleet.READY, **versions):
-    """Give an entry of a target."""
+    """Return an entry of a target."""
     return fleet.Entry(name, 's', ('a', 1), 'd', state, 1, versions)
 
 
@@ -176,7 +176,7 @@
         row = json.dumps(deployment.plain[0].entry('plain')).encode()
         old = tail.Record('late', row, 7)
         new = tail.Record('next', row, 9)
-        follower._take_page(store.Page((old, new), 10, hub.clock()))
+        follower._apply_page(store.Page((old, new), 10, hub.clock()))
         assert 'late' not in hub.view.fleet.entries
         assert 'next' in hub.view.fleet.entries
         assert hub.state.targets_end == 10
@@ -206,7 +206,7 @@
 
 
 def make_page(*records):
-    """Give a page of records that follow one another."""
+    """Return a page of consecutive records."""
     return store.Page(records, records[-1].offset + 1, 2.0)
 
 
@@ -248,7 +248,11 @@
 
 
 def test_only_tables_are_asked_for_while_the_store_is_away():
-    """Four calls for each of three topics in four seconds before."""
+    """Guard against retries of each topic while the store is unreachable.
+
+    If each of the three topics retried, a box would make four calls for each
+    in four seconds.
+    """
 
     async def check(deployment):
         hub = await deployment.start_box()
@@ -265,7 +269,7 @@
         assert made.get(f'read {names.CLAIMS_TOPIC}', 0) <= 2
         deployment.store.mode = ''
         deployment.announce(deployment.plain[0], 'plain', state='draining')
-        # As soon as the read of tables is answered.
+        # The topic is read again once the read of tables is answered.
         await site.wait_until(lambda: 'p0' not in hub.view.fleet.entries, 1.2)
 
     site.run(check)
--- a/tests/gateway/test_leaving_words.py
+++ b/tests/gateway/test_leaving_words.py
@@ -98,7 +98,7 @@
         called = hub.hearing.begin_call(http.Address(*runner.address))
         deployment.announce(runner, 'engine', model='m', born=BORN)
         await site.wait_until(lambda: 'e0' not in hub.view.fleet.entries)
-        assert called.lives == ('e0',)
+        assert called.incarnations == ('e0',)
         assert not hub.view.bars.leaving.holds(f'e0@{BORN}')
 
     site.run(check, plain=1, engines=1)
--- a/tests/gateway/test_side_calls.py
+++ b/tests/gateway/test_side_calls.py
@@ -1,4 +1,4 @@
-"""Calls to targets beside the requests, whatever bytes come back."""
+"""Calls to targets other than requests, for unusual bytes in the answers."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 def fetch(rows):
-    """Give the Response to a call whose answer has some further rows."""
+    """Return the Response to a call whose answer has additional fields."""
 
     async def serve(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
@@ -31,10 +31,10 @@
 
 
 def test_bytes_that_are_no_text_in_a_head_end_no_call():
-    """A call ended by an error that no caller of it handles.
+    """Guard against a decoding error that no caller of `fetch` handles.
 
-    A field of a head may hold any byte over 0x7f (RFC 9110, 5.5); it was read
-    as UTF-8, and what follows a target or the store ended with the error.
+    A field of a head may hold any byte over 0x7f (RFC 9110, 5.5).  If it is
+    read as UTF-8, the error ends the task that follows a target or the store.
     """
     response = fetch(b'x-note: caf\xe9\r\n')
     assert response.status == 200
@@ -42,6 +42,6 @@
 
 
 def test_a_field_on_several_lines_is_read_whole():
-    """The last line alone was kept; together they are a list (5.3)."""
+    """Guard against losing all but the last line of a list (5.3)."""
     response = fetch(b'x-note: a\r\nx-note: b\r\n')
     assert response.headers['x-note'] == 'a, b'
--- a/tests/gateway/test_sweeper.py
+++ b/tests/gateway/test_sweeper.py
@@ -1,4 +1,4 @@
-"""Parts of replaced weights leave the stores, and nothing else does."""
+"""Garbage is freed from the KV cache stores, and nothing else is."""
 
 import asyncio
 import itertools
@@ -13,7 +13,7 @@
 
 
 async def start(deployment):
-    """Start a box and a store of kept context that it follows."""
+    """Start a box and a KV cache store that it follows."""
     keeper, address = await site.start_keeper(list(KEPT))
     deployment.publish(site.make_store_table(2, address))
     hub = await deployment.start_box()
@@ -22,7 +22,7 @@
 
 
 def load(deployment, *engines):
-    """Let targets say that they have new weights."""
+    """Have targets announce that they have new weights."""
     for engine in engines:
         engine.version = 2
         deployment.announce(engine, 'engine', model='m')
@@ -78,7 +78,7 @@
 
 def test_parts_that_broke_off_are_freed_by_one_box(monkeypatch):
     monkeypatch.setattr(leftovers, 'BROKEN_S', 0.5)
-    monkeypatch.setattr(sweeper, 'LIST_S', 0.3)
+    monkeypatch.setattr(sweeper, 'LIST_PERIOD_S', 0.3)
     monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
 
     async def check(deployment):
@@ -92,7 +92,7 @@
             keeper.partial[-1][2] = written
         assert keeper.freed == [('m.1', 'half')]
         (address,) = hub.view.table.keepers
-        # Both know of the room that the part under way takes.
+        # Both know the capacity that the part being written takes.
         await site.wait_until(
             lambda: all(
                 h.view.warmth.get(address).beyond == 800 for h in (hub, second)
