--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -36,7 +36,7 @@
     ----------
     hub
         The box's parts: `view`, `upstream`, `prober`, `heartbeat`, `recorder`,
-        `metrics`, `hearing`, `marks`, `clock`, `timer`.
+        `metrics`, `target_notices`, `crash_records`, `clock`, `timer`.
     state : request_state.RequestState
         The request; the attempt updates it.
     plan : view.Plan
@@ -141,7 +141,7 @@
                 endings.record_lost(fingerprint, name, now)
             elif outcome.cause in outcomes.UNANSWERED:
                 endings.record_silent(fingerprint, name, now)
-        self._hub.marks.look()
+        self._hub.crash_records.check()
 
     def _log_loss(self, outcome):
         self._hub.metrics.losses.labels(outcome.cause).inc()
@@ -362,7 +362,7 @@
         # A missing limit means "no limit" only in a signed success.
         certain = answered and is_success(head)
         name = self._plan.entry.name
-        self._hub.hearing.take(name, head.words, self._sent_at, certain)
+        self._hub.target_notices.take(name, head.words, self._sent_at, certain)
         if answered and not head.words.asks_rest:
             self._view.bars.rests.record_answered(name, self._sent_at)
 
--- a/landingspool/gateway/cachewatch.py
+++ b/landingspool/gateway/cache_follower.py
@@ -59,7 +59,7 @@
 FIRST_CHECK_PERIOD_S = 0.05
 
 
-class Cachewatch:
+class CacheFollower:
     """Follow the cache events of every engine and every KV cache store.
 
     Parameters
@@ -76,7 +76,7 @@
         """Follow until cancelled."""
         try:
             while True:
-                peer = self._hub.peering.pick_watcher()
+                peer = self._hub.peering.pick_store_follower()
                 if peer is None:
                     followed = self._list_followed()
                     self._update_tasks(followed)
--- a/landingspool/gateway/marks.py
+++ b/landingspool/gateway/crash_records.py
@@ -29,7 +29,7 @@
     at: float
 
 
-class Marks:
+class CrashRecords:
     """Keep the crashes that quarantine requests in the platform's store.
 
     Parameters
@@ -45,12 +45,12 @@
         self._written = {}
         self._wake = asyncio.Event()
 
-    def look(self):
+    def check(self):
         """Log new and lifted quarantines, and have them written."""
         endings = self._crashes
-        for fingerprint in take_all(endings.fresh):
+        for fingerprint in pop_all(endings.fresh):
             self._record_quarantine(fingerprint)
-        for fingerprint in take_all(endings.lifted):
+        for fingerprint in pop_all(endings.lifted):
             self._hub.recorder.record('bar_lifted', content=fingerprint.hex())
             self._put(fingerprint, b'')
 
@@ -76,7 +76,7 @@
             return
         for notice in notices:
             self._crashes.take(notice, now)
-        self.look()
+        self.check()
 
     def list_due(self):
         """List the keys of the records that are still to be written."""
@@ -109,7 +109,7 @@
 
     def _put(self, fingerprint, value):
         key = fingerprint.hex()
-        turn = self._hub.peering.find_place(key)
+        turn = self._hub.peering.get_rank(key)
         self._pending[key] = PendingWrite(
             value, self._hub.clock() + turn * TURN_S
         )
@@ -138,7 +138,7 @@
         return bool(self._written.get(key)) == bool(value)
 
 
-def take_all(rows):
+def pop_all(rows):
     """Empty a list and return what it held."""
     taken = list(rows)
     rows.clear()
--- a/landingspool/gateway/following.py
+++ b/landingspool/gateway/following.py
@@ -34,7 +34,8 @@
     Parameters
     ----------
     hub
-        The box's parts: `sources`, `offer`, `view`, `recorder`, `clock`.
+        The box's parts: `sources`, `record_server`, `view`, `recorder`,
+        `clock`.
 
     Attributes
     ----------
@@ -43,7 +44,7 @@
         Seconds for which a read is held if there is nothing new.
     newest_only : bool
         Whether only the newest record of a key matters.
-    least_end : int
+    min_end : int
         End offset of the topic as far as this box knows.
     was_tried : bool
         Whether a read of the topic has been answered or has failed.
@@ -57,7 +58,7 @@
         self._up = None
         self.was_tried = False
         self._tail = tail_module.Tail(self.newest_only)
-        hub.offer.add(self.topic, self._tail)
+        hub.record_server.add(self.topic, self._tail)
 
     async def run(self):
         """Follow until cancelled.
@@ -71,7 +72,7 @@
             newest = await self._read(
                 'newest',
                 lambda: self._hub.sources.read_newest(
-                    self.topic, self.least_end
+                    self.topic, self.min_end
                 ),
             )
             self._tail.reset(newest.records, newest.end, newest.sent)
@@ -87,7 +88,7 @@
             offset = page.end
             self._tail.extend(page)
             if page.records:
-                self._hub.offer.wake(self.topic)
+                self._hub.record_server.wake(self.topic)
             self._apply_page(page)
 
     async def _read_page(self, offset):
@@ -144,7 +145,7 @@
             await self._hub.sources.wait_answered(MAX_WAIT_S)
 
     @property
-    def least_end(self):
+    def min_end(self):
         """Return the offset that answers of other boxes must have reached."""
         return self._tail.end or 0
 
@@ -206,7 +207,7 @@
         )
         if left_s <= 0:
             return 0.0
-        if not peering.is_large():
+        if not peering.has_readers():
             return peering.ages.hold_s
         return min(peering.ages.chained_s, left_s)
 
@@ -280,9 +281,9 @@
     hold_s = 2.4
 
     @property
-    def least_end(self):
+    def min_end(self):
         """Return the end of what was read, or of a peer's state if newer."""
-        return max(super().least_end, self._hub.state.targets_end)
+        return max(super().min_end, self._hub.state.targets_end)
 
     def _apply_newest(self, newest):
         super()._apply_newest(newest)
@@ -331,7 +332,7 @@
 
     def _apply(self, record):
         if record.key.startswith(names.ENDINGS_KEY):
-            self._hub.marks.take(record)
+            self._hub.crash_records.take(record)
             return
         try:
             claim = catalogue.read_claim(record.value, record.offset)
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -36,7 +36,7 @@
 
     def __init__(self, hub):
         self._hub = hub
-        self.watch = rollouts.Watch(hub.place.bounds.lease_s)
+        self.watch = rollouts.Watch(hub.deployment.bounds.lease_s)
         self._lease = None
         self._claimed_loading = ()
         # Since when the claim is needed and nobody holds it.
@@ -78,7 +78,7 @@
             return True
         if self.watch.end is None:
             return False
-        box = self._hub.place.box
+        box = self._hub.deployment.box
         if not self.watch.may_claim(box, now):
             self._unclaimed_since = None
             return False
@@ -88,7 +88,7 @@
         """Return whether the boxes before this one had time to claim."""
         if self._unclaimed_since is None:
             self._unclaimed_since = now
-        rank = self._hub.peering.find_place(CLAIM_KEY)
+        rank = self._hub.peering.get_rank(CLAIM_KEY)
         return now - self._unclaimed_since >= rollouts.find_turn(rank)
 
     async def _renew_claim(self, loading):
@@ -107,7 +107,7 @@
         return rollouts.is_held(self._lease, self._hub.clock())
 
     async def _claim(self, loading):
-        box = self._hub.place.box
+        box = self._hub.deployment.box
         value = catalogue.write_claim(box, loading)
         reply = await self._hub.store.append(
             names.CLAIMS_TOPIC, CLAIM_KEY, value, self.watch.end
@@ -118,7 +118,7 @@
                 self._hub.recorder.record('holding', fence=reply.offset)
             # The offset of the newest append is the fence: it only rises.
             self._lease = rollouts.Lease(
-                reply.offset, reply.sent, self._hub.place.bounds.lease_s
+                reply.offset, reply.sent, self._hub.deployment.bounds.lease_s
             )
             self._claimed_loading = tuple(loading)
             self._hub.view.weights.put_loading(loading, self._hub.clock())
@@ -213,7 +213,11 @@
             return rollouts.REFUSED
         fence = self._lease.fence
         reply = await self._hub.runners.order(
-            entry.address, order, report.orders, self._hub.place.box, fence
+            entry.address,
+            order,
+            report.orders,
+            self._hub.deployment.box,
+            fence,
         )
         self._hub.metrics.orders.labels(type(reply).__name__).inc()
         self._hub.recorder.record(
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -19,7 +19,7 @@
 from landingspool.decisions.gateway import readers
 from landingspool.decisions import ownership
 from landingspool.gateway import boxcalls
-from landingspool.gateway import cachewatch
+from landingspool.gateway import cache_follower
 from landingspool.gateway import registry
 from landingspool.gateway import sources
 from landingspool.gateway import state
@@ -75,11 +75,11 @@
         self._fetching = False
         self.peers = {}
         self._registry = registry.Registry(hub, self.peers)
-        place = hub.place
-        bound_s = min(place.bounds.table_s, place.bounds.key_s)
+        deployment = hub.deployment
+        bound_s = min(deployment.bounds.table_s, deployment.bounds.key_s)
         self.ages = readers.plan_ages(bound_s)
         self._readers = readers.Readers(
-            place.box, place.link_mbps, self.ages.old_s
+            deployment.box, deployment.link_mbps, self.ages.old_s
         )
         self._socket = datagrams.Datagrams(
             self._receive, self._record_bad_message
@@ -88,7 +88,7 @@
 
     async def start(self):
         """Open the sockets and begin to send digests."""
-        address = self._hub.place.links
+        address = self._hub.deployment.links
         await self._socket.start(address)
         await self._server.start(*address)
         self._hub.timer.subscribe(DIGEST_S, self._on_digest_period)
@@ -100,15 +100,15 @@
 
     async def wait_listed(self):
         """Wait until the other boxes are known, for LIST_TIMEOUT_S at most."""
-        if self._hub.place.links is None:
+        if self._hub.deployment.links is None:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LIST_TIMEOUT_S):
                 await self._registry.listed.wait()
 
-    def find_place(self, subject):
+    def get_rank(self, subject):
         """Return the rank of this box in the hash order of all boxes."""
-        box = self._hub.place.box
+        box = self._hub.deployment.box
         order = ownership.rank(subject, tuple(sorted((*self.peers, box))))
         return order.index(box)
 
@@ -139,7 +139,7 @@
         name = self._readers.pick(links, age_s, self._hub.clock())
         return self.peers.get(name)
 
-    def pick_watcher(self):
+    def pick_store_follower(self):
         """Return the registry.Peer that follows the KV cache stores.
 
         None means that this box follows them.  However old its proof of the
@@ -148,17 +148,17 @@
         """
         return self._pick_peer(0.0)
 
-    def name_reader(self):
+    def get_reader_name(self):
         """Return the name of the box to read from; empty for the store."""
         reader = self.pick_reader()
         return reader.name if reader is not None else ''
 
-    def is_large(self):
+    def has_readers(self):
         """Return whether this domain has boxes that read for others."""
         return len(self._list_domain_peers()) >= readers.MOST_ALONE
 
     def _list_domain_peers(self):
-        domain = self._hub.place.domain
+        domain = self._hub.deployment.domain
         return [n for n, p in self.peers.items() if p.domain == domain]
 
     def shun(self, name, reason):
@@ -183,13 +183,13 @@
         If there are boxes to follow, this one does so, and notifies its own
         followers at once.  Otherwise it continues to ask the store.
         """
-        if self.is_large() and not self.is_cut():
-            self.shun(self._hub.place.box, reason)
-            self._hub.offer.wake_all()
+        if self.has_readers() and not self.is_cut():
+            self.shun(self._hub.deployment.box, reason)
+            self._hub.record_server.wake_all()
 
     def is_cut(self):
         """Return whether the store failed this box shortly before."""
-        return self.is_shunned(self._hub.place.box)
+        return self.is_shunned(self._hub.deployment.box)
 
     def _on_digest_period(self, tick):
         view = self._hub.view
@@ -201,16 +201,16 @@
         if self._registry.was_read:
             # Without the list, this box may know only few of the others.
             view.bars.shares.set_members(
-                self._hub.place.box,
-                (*self.peers, self._hub.place.box),
+                self._hub.deployment.box,
+                (*self.peers, self._hub.deployment.box),
                 tick.now,
             )
         view.watching.set_members(
-            self._hub.place.box, self._list_domain_peers()
+            self._hub.deployment.box, self._list_domain_peers()
         )
         self._send_digest(tick.now)
 
-    def hurry(self):
+    def send_urgent_digest(self):
         """Send a digest now if a limit has begun.
 
         Until all boxes know of a limit, they exceed it.  With digests at
@@ -228,13 +228,13 @@
         self._number += 1
         self._sent = now
         digest = neighbours.Digest(
-            box=self._hub.place.box,
-            domain=self._hub.place.domain,
+            box=self._hub.deployment.box,
+            domain=self._hub.deployment.domain,
             number=self._number,
             loads=neighbours.code_loads(view.loads.list_told()),
             unreached=view.reach.list_told(),
             rooms=view.rooms,
-            link_mbps=self._hub.place.link_mbps,
+            link_mbps=self._hub.deployment.link_mbps,
             endings=view.endings.tell(now),
             limits=view.bars.limits.tell(now),
             leaving=view.bars.leaving.tell(now),
@@ -250,14 +250,18 @@
             return
         self._number += 1
         self._asked_at = {self._number: tick.now}
-        ask = neighbours.Ask(self._hub.place.box, self._number)
+        ask = neighbours.Ask(self._hub.deployment.box, self._number)
         for address in self._pick(PEERS_ASKED):
             self._socket.send(ask, address)
 
     def _pick_digest_receivers(self):
         if not self.peers:
             return self._pick(neighbours.FAN_OUT)
-        domain, same_domain, other_domains = self._hub.place.domain, [], []
+        domain, same_domain, other_domains = (
+            self._hub.deployment.domain,
+            [],
+            [],
+        )
         for peer in self.peers.values():
             (same_domain if peer.domain == domain else other_domains).append(
                 peer.address
@@ -269,7 +273,7 @@
     def _pick(self, count):
         # The seeds are used if the store doesn't list any box.
         known = [peer.address for peer in self.peers.values()]
-        known = known or list(self._hub.place.seeds)
+        known = known or list(self._hub.deployment.seeds)
         return random.sample(known, min(count, len(known)))
 
     def _get_proof_age(self):
@@ -280,7 +284,7 @@
         HANDLERS[type(message)](self, message, http.Address(*address))
 
     def _receive_digest(self, digest, address):
-        if digest.box == self._hub.place.box:
+        if digest.box == self._hub.deployment.box:
             return
         if digest.box not in self.peers:
             self.peers[digest.box] = registry.Peer(
@@ -288,15 +292,15 @@
             )
         now = self._hub.clock()
         self._hub.view.take_digest(digest, now)
-        self._hub.marks.look()
-        self.hurry()
+        self._hub.crash_records.check()
+        self.send_urgent_digest()
 
     def _receive_ask(self, ask, address):
         view = self._hub.view
         if view.table is None:
             return
         tell = neighbours.Tell(
-            self._hub.place.box,
+            self._hub.deployment.box,
             ask.number,
             view.table.version,
             self._get_proof_age(),
@@ -333,7 +337,7 @@
             snapshot = await boxcalls.fetch(
                 self._hub.client,
                 address,
-                state.Given,
+                state.StateSnapshot,
                 ('GET', STATE_PATH),
                 timeout=FETCH_TIMEOUT_S,
             )
@@ -351,18 +355,18 @@
 
     async def _answer_state(self, request, exchange):
         snapshot = msgspec.to_builtins(
-            self._hub.state.give(), builtin_types=[bytes]
+            self._hub.state.get_snapshot(), builtin_types=[bytes]
         )
         await boxcalls.answer(exchange, snapshot)
 
     async def _answer_records(self, request, exchange):
-        await self._hub.offer.answer_records(request, exchange)
+        await self._hub.record_server.answer_records(request, exchange)
 
     async def _answer_newest(self, request, exchange):
-        await self._hub.offer.answer_newest(request, exchange)
+        await self._hub.record_server.answer_newest(request, exchange)
 
     async def _answer_changes(self, request, exchange):
-        await self._hub.cachewatch.answer_changes(request, exchange)
+        await self._hub.cache_follower.answer_changes(request, exchange)
 
     def _record_bad_message(self, reason):
         self._hub.recorder.record('bad_message', reason=reason)
@@ -379,5 +383,5 @@
     STATE_PATH: Peering._answer_state,
     sources.RECORDS_PATH: Peering._answer_records,
     sources.NEWEST_PATH: Peering._answer_newest,
-    cachewatch.CHANGES_PATH: Peering._answer_changes,
+    cache_follower.CHANGES_PATH: Peering._answer_changes,
 }
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -9,7 +9,7 @@
 from landingspool.gateway import upstream
 
 # Period at which targets are checked for a due probe, seconds.
-LOOK_S = 0.1
+CHECK_PERIOD_S = 0.1
 
 
 class Prober:
@@ -32,7 +32,7 @@
             self._hub.recorder.record('unreached', target=name, reason=reason)
         view.record_unreached(name, self._hub.clock())
 
-    def look(self, tick):
+    def check(self, tick):
         """Start a probe of each target that is due."""
         for name in self._hub.view.reach.list_due(tick.now):
             if name not in self._probing and self._may_probe(name, tick.now):
--- a/landingspool/gateway/registry.py
+++ b/landingspool/gateway/registry.py
@@ -46,7 +46,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `place`, `store`, `view`, `clock`.
+        The box's parts: `deployment`, `store`, `view`, `clock`.
     peers : dict of str to Peer
         The other boxes by name, updated in this object.
 
@@ -67,10 +67,10 @@
 
     async def run(self):
         """Register this box, and read the list of boxes periodically."""
-        if not self._hub.place.first_start:
+        if not self._hub.deployment.first_start:
             await self._read_first_list()
         await self._register()
-        if self._hub.place.first_start:
+        if self._hub.deployment.first_start:
             await asyncio.sleep(START_GATHERING_S)
             await self._read_first_list()
         while True:
@@ -96,16 +96,18 @@
     async def leave(self):
         """Remove this box from the store, since it stops."""
         await self._hub.store.append(
-            names.BOXES_TOPIC, self._hub.place.box, b''
+            names.BOXES_TOPIC, self._hub.deployment.box, b''
         )
 
     async def _register(self):
         """Write this box into the store, until that has succeeded."""
-        place = self._hub.place
-        row = write_peer(place.links, place.domain, place.link_mbps)
+        deployment = self._hub.deployment
+        row = write_peer(
+            deployment.links, deployment.domain, deployment.link_mbps
+        )
         while True:
             reply = await self._hub.store.append(
-                names.BOXES_TOPIC, place.box, row
+                names.BOXES_TOPIC, deployment.box, row
             )
             if isinstance(reply, store_module.Appended):
                 return
@@ -115,7 +117,7 @@
         listed = {}
         for key, value, _ in newest.records:
             peer = read_peer(key, value)
-            if peer is not None and key != self._hub.place.box:
+            if peer is not None and key != self._hub.deployment.box:
                 listed[key] = peer
         recent = self._hub.view.neighbours.list_heard(self._hub.clock())
         for name in list(self._peers):
--- a/landingspool/gateway/sources.py
+++ b/landingspool/gateway/sources.py
@@ -56,7 +56,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `store`, `client`, `peering`, `clock`, `place`.
+        The box's parts: `store`, `client`, `peering`, `clock`, `deployment`.
 
     Attributes
     ----------
@@ -92,18 +92,18 @@
             lambda peer: self._read_box(peer, topic, start, hold_s),
         )
 
-    async def read_newest(self, topic, least_end):
+    async def read_newest(self, topic, min_end):
         """Read the newest record of each key, like store.Store.read_newest.
 
         Parameters
         ----------
-        least_end : int
+        min_end : int
             End of the topic as far as this box knows.  The answer of another
             box whose end is lower is rejected.
         """
         return await self._read_any(
             lambda: self._hub.store.read_newest(topic),
-            lambda peer: self._read_newest_of_box(peer, topic, least_end),
+            lambda peer: self._read_newest_of_box(peer, topic, min_end),
         )
 
     async def _read_any(self, read_store, read_box):
@@ -138,7 +138,7 @@
     async def _read_store(self, reading):
         """Read the store, unless another read finds it unreachable."""
         sent = self._hub.clock()
-        reply = await self._wait(self._hub.place.box, reading)
+        reply = await self._wait(self._hub.deployment.box, reading)
         if reply is None:
             return store_module.Unavailable('the store: read aborted', False)
         failed = isinstance(reply, store_module.Unavailable)
@@ -164,14 +164,14 @@
         rows = read_rows(answer)
         return store_module.Page(rows, answer.end, sent - answer.age)
 
-    async def _read_newest_of_box(self, peer, topic, least_end):
+    async def _read_newest_of_box(self, peer, topic, min_end):
         reply = await self._fetch(peer, NEWEST_PATH, {'topic': topic}, 0.0)
         if isinstance(reply, store_module.Unavailable):
             return reply
         answer, sent = reply
         if answer.gone:
             return self._reject(peer, 'it has no records of the topic')
-        if answer.end < least_end:
+        if answer.end < min_end:
             return self._reject(peer, f'its topic ends at {answer.end}')
         rows = read_rows(answer)
         return store_module.Newest(rows, answer.end, sent - answer.age)
@@ -244,7 +244,7 @@
     return tuple(tail_module.Record(*row) for row in answer.records)
 
 
-class Offer:
+class RecordServer:
     """Answer the boxes that read from this one.
 
     Parameters
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -11,7 +11,7 @@
 from landingspool.platform import catalogue
 
 
-class Given(msgspec.Struct):
+class StateSnapshot(msgspec.Struct):
     """Contain the state that one box sends to another.
 
     Attributes
@@ -86,10 +86,10 @@
                 proof_s=self._view.proof.age_to_log(self._hub.clock()),
             )
 
-    def give(self):
+    def get_snapshot(self):
         """Return what a box needs that can't reach the store."""
         versions = {m: n.version for m, n in self._view.weights.named.items()}
-        return Given(
+        return StateSnapshot(
             proof_s=self._view.proof.age_to_tell(self._hub.clock()),
             table=self._table_value,
             versions=versions,
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -18,7 +18,7 @@
 from landingspool.platform import runners
 
 # Range of the seconds between two checks, spread evenly.
-LOOK_S = 0.8, 2.4
+CHECK_PERIOD_S = 0.8, 2.4
 # Seconds between two complete lists that the owner reads of a store.  One in a
 # hundred events is lost, and abandoned parts are reported in lists only.  Each
 # list is some ten kilobytes.
@@ -47,7 +47,7 @@
     async def run(self):
         """Check and free until cancelled."""
         while True:
-            await asyncio.sleep(self._hub.view.rng.uniform(*LOOK_S))
+            await asyncio.sleep(self._hub.view.rng.uniform(*CHECK_PERIOD_S))
             owned = self._list_owned()
             self._drop_unowned_counts(owned)
             for address in self._list_due_stores(owned):
@@ -72,7 +72,10 @@
         """Free the parts of versions before `min_version` in all stores."""
         view = self._hub.view
         table = view.table
-        if table is None or self._hub.peering.pick_watcher() is not None:
+        if (
+            table is None
+            or self._hub.peering.pick_store_follower() is not None
+        ):
             return
         for address, store in table.keepers.items():
             if store.managed:
@@ -105,12 +108,13 @@
         table = self._hub.view.table
         if table is None:
             return []
-        boxes = [self._hub.place.box, *self._hub.peering.peers]
+        boxes = [self._hub.deployment.box, *self._hub.peering.peers]
         return [
             address
             for address, store in table.keepers.items()
             if store.managed
-            and ownership.find_owner(address, boxes) == self._hub.place.box
+            and ownership.find_owner(address, boxes)
+            == self._hub.deployment.box
         ]
 
     def _drop_unowned_counts(self, owned):
--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/target_notices.py
@@ -3,12 +3,12 @@
 import typing
 
 from landingspool.decisions.gateway import neighbours
-from landingspool.gateway import marks
+from landingspool.gateway import crash_records
 from landingspool.platform import limits as field
 from landingspool.platform import notices as notices_module
 
 
-class Called(typing.NamedTuple):
+class SideCall(typing.NamedTuple):
     """A call to an address that is not a request of a caller.
 
     `incarnations` are their names at the address when the call is sent.  Its
@@ -19,7 +19,7 @@
     asked: float
 
 
-class Hearing:
+class TargetNotices:
     """Apply and log what targets announce in their answers.
 
     Parameters
@@ -57,12 +57,12 @@
                 self._record_unreadable(name, title, notice.text)
 
     def begin_call(self, address):
-        """Return the Called of a call that is sent to an address now."""
+        """Return the SideCall of a call that is sent to an address now."""
         entries = self._hub.view.fleet.entries.values()
         incarnations = tuple(e.name for e in entries if e.address == address)
-        return Called(incarnations, self._hub.clock())
+        return SideCall(incarnations, self._hub.clock())
 
-    def take_beside(self, called, notices):
+    def take_answer(self, called, notices):
         """Apply the notices in the answer to a call that is no request.
 
         It is not specified whether such answers name each limit, so an answer
@@ -70,17 +70,17 @@
 
         Parameters
         ----------
-        called : Called
+        called : SideCall
         notices : notices.Notices
         """
         for name in called.incarnations:
             self.take(name, notices, called.asked, certain=False)
 
-    def look(self):
+    def check(self):
         """Act on new notices, and log them with the names of the targets."""
         self._log_backoffs()
-        limits = marks.take_all(self._limits.fresh)
-        leaving = marks.take_all(self._leaving.fresh)
+        limits = crash_records.pop_all(self._limits.fresh)
+        leaving = crash_records.pop_all(self._leaving.fresh)
         if not limits and not leaving:
             return
         incarnations = self._hub.view.fleet.list_lives()
@@ -89,7 +89,7 @@
         self._log_leaving(leaving, names)
 
     def _log_backoffs(self):
-        for asked in marks.take_all(self._backoffs.fresh):
+        for asked in crash_records.pop_all(self._backoffs.fresh):
             self._hub.recorder.record(
                 'rest_asked',
                 target=asked.name,
@@ -104,7 +104,7 @@
             self._hub.recorder.record(
                 'leaving_over' if known.is_over else 'leaving_told',
                 target=name,
-                told_by=known.box or self._hub.place.box,
+                told_by=known.box or self._hub.deployment.box,
                 age_s=round(self._hub.clock() - known.heard, 3),
             )
             entry = self._hub.view.fleet.entries.get(name)
@@ -121,7 +121,7 @@
                 'limit_named' if known.per_s else 'limit_over',
                 target=names.get(life, life),
                 per_s=known.per_s,
-                told_by=known.box or self._hub.place.box,
+                told_by=known.box or self._hub.deployment.box,
                 age_s=round(self._hub.clock() - known.heard, 3),
             )
 
@@ -154,7 +154,7 @@
         now = self._hub.clock()
         if isinstance(limit, field.Named):
             self._limits.record_named(name, limit.per_s, asked, now)
-            self._hub.peering.hurry()
+            self._hub.peering.send_urgent_digest()
         elif isinstance(limit, field.Unnamed) and certain:
             self._limits.record_unnamed(name, asked, now)
 
--- a/landingspool/platform/runners.py
+++ b/landingspool/platform/runners.py
@@ -61,7 +61,7 @@
     client : httpclient.Client
     observer
         Told of what answers say of their targets: anything with
-        ``begin_call(address)``, and ``take_beside(called, words)`` for what
+        ``begin_call(address)``, and ``take_answer(called, words)`` for what
         that gave.
     """
 
@@ -169,7 +169,7 @@
         except http.Unreachable as error:
             return Unanswered(str(error), error.sent)
         said = notices.read_folded_notices(reply.status, reply.headers)
-        self._observer.take_beside(called, said)
+        self._observer.take_answer(called, said)
         return reply
 
 
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -125,7 +125,7 @@
         (hub,) = await site.start_boxes(deployment, 1)
         while engines.count_ends() < MOST_ENDS:
             await site.ask(hub, '/resumed/a', FATAL)
-        await site.wait_until(lambda: not hub.marks.list_due())
+        await site.wait_until(lambda: not hub.crash_records.list_due())
         deployment.hubs.remove(hub)
         await hub.peering.close()
         await site.wait_until(lambda: len(deployment.engines) == ENGINES)
--- a/tests/gateway/test_limit_words.py
+++ b/tests/gateway/test_limit_words.py
@@ -75,9 +75,9 @@
         (runner,) = deployment.plain
         runner.limit = '0.5'
         await site.ask(first, '/safe/a')
-        second = await deployment.start_box('box1', [first.place.links])
+        second = await deployment.start_box('box1', [first.deployment.links])
         await site.wait_until(lambda: second.view.bars.limits.find('p0'), 1.5)
-        given = first.state.give()
+        given = first.state.get_snapshot()
         assert [word.per_s for word in given.limits] == [0.5]
         got = await site.ask(second, '/safe/a')
         assert got.status == 503
@@ -117,7 +117,7 @@
         (runner,) = deployment.plain
         runner.limit = '0.5'
         await site.ask(hub, '/safe/a')
-        hub.hearing.sweep()
+        hub.target_notices.sweep()
         lines = hub.metrics.render().decode().splitlines()
         rows = [line for line in lines if 'target="p0"' in line]
         figures = {row.split('{')[0][21:]: row.split()[1] for row in rows}
--- a/tests/gateway/test_reach.py
+++ b/tests/gateway/test_reach.py
@@ -105,7 +105,7 @@
         counts = [count_probes(hub) for hub in hubs]
         await asyncio.sleep(3.0)
         probing = [
-            hub.place.box
+            hub.deployment.box
             for hub, before in zip(hubs, counts, strict=True)
             if count_probes(hub) > before
         ]
--- a/tests/gateway/test_rest_words.py
+++ b/tests/gateway/test_rest_words.py
@@ -218,7 +218,7 @@
         hub = await deployment.start_box()
         (runner,) = deployment.plain
         await hear_rest(hub, runner)
-        hub.hearing.sweep()
+        hub.target_notices.sweep()
         lines = hub.metrics.render().decode().splitlines()
         (row,) = [
             line
--- a/tests/gateway/test_sweeper.py
+++ b/tests/gateway/test_sweeper.py
@@ -30,7 +30,7 @@
 
 def test_parts_go_a_time_after_the_last_target_left_their_weights(monkeypatch):
     monkeypatch.setattr(leftovers, 'FREE_AFTER_S', 1.0)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
         hub, keeper = await start(deployment)
@@ -58,7 +58,7 @@
 
 def test_a_store_in_another_life_frees_nothing(monkeypatch):
     monkeypatch.setattr(leftovers, 'FREE_AFTER_S', 0.2)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
         _, keeper = await start(deployment)
@@ -79,7 +79,7 @@
 def test_parts_that_broke_off_are_freed_by_one_box(monkeypatch):
     monkeypatch.setattr(leftovers, 'BROKEN_S', 0.5)
     monkeypatch.setattr(sweeper, 'LIST_PERIOD_S', 0.3)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
         hub, keeper = await start(deployment)
@@ -104,7 +104,7 @@
 
 
 def test_a_store_that_another_box_owns_now_is_told_of_no_more(monkeypatch):
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
         hub, keeper = await start(deployment)
