--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -124,7 +124,7 @@
             self._hub.view.weights.put_loading(loading, self._hub.clock())
             return True
         if isinstance(reply, store_module.Conflict):
-            # Another box has appended, so the claim of this one has expired.
+            # Another box has appended, so the claim of this one is void.
             self._drop_claim('another box wrote a claim')
         return False
 
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -35,7 +35,7 @@
 ASK_PERIOD_S = 0.4
 # Seconds by which the proof must exceed the age at which a box reads the store
 # itself before it asks its peers.  By then it has tried to read the store,
-# which has answered or refused if it works.
+# which has answered or refused if it can be reached.
 ASK_DELAY_S = 0.3
 # Minimum seconds by which a peer's proof must be newer for its state to be
 # fetched.  If the store answers nobody, all proofs have about the same age,
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -101,40 +101,40 @@
             leaving=self._view.bars.leaving.list_notices(self._hub.clock()),
         )
 
-    def take(self, given, sent):
+    def take(self, snapshot, sent):
         """Apply the state that another box sent when asked at `sent`."""
         now = self._hub.clock()
-        for notice in given.endings:
+        for notice in snapshot.endings:
             self._view.endings.take(notice, now)
-        for limit in given.limits:
+        for limit in snapshot.limits:
             self._view.bars.limits.take(limit, '', sent)
-        for notice in given.leaving:
+        for notice in snapshot.leaving:
             self._view.bars.leaving.take(notice, '', sent)
-        if given.table is None:
+        if snapshot.table is None:
             return
-        self.take_table(given.table)
-        if sent - given.proof_s > now - self._view.proof.age(now):
+        self.take_table(snapshot.table)
+        if sent - snapshot.proof_s > now - self._view.proof.age(now):
             # The peer's list of evacuations is newer than this box's own.
-            self.set_evacuated(given.evacuated)
-        for model, version in given.versions.items():
+            self.set_evacuated(snapshot.evacuated)
+        for model, version in snapshot.versions.items():
             self._view.weights.put_version(model, version, now)
-        if given.targets_end >= self.targets_end:
+        if snapshot.targets_end >= self.targets_end:
             # An older list would bring back targets that are gone.
-            self._apply_targets(given.targets)
-            self.targets_end = given.targets_end
-        self._view.proof.record(sent - given.proof_s)
+            self._apply_targets(snapshot.targets)
+            self.targets_end = snapshot.targets_end
+        self._view.proof.record(sent - snapshot.proof_s)
         self._hub.recorder.record(
             'state_taken',
             table=self._view.table.version,
             proof_s=self._view.proof.age_to_log(now),
         )
 
-    def put_evacuation(self, domain, stands):
+    def put_evacuation(self, domain, is_evacuated):
         """Apply that a domain's evacuation was ordered or withdrawn."""
         now = self._hub.clock()
-        if stands and self._view.bars.evacuation.put(domain, now):
+        if is_evacuated and self._view.bars.evacuation.put(domain, now):
             self._hub.recorder.record('evacuated', domain=domain)
-        elif not stands and self._view.withdraw_evacuation(domain, now):
+        elif not is_evacuated and self._view.withdraw_evacuation(domain, now):
             self._hub.recorder.record('evacuation_over', domain=domain)
 
     def set_evacuated(self, domains):
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -82,8 +82,8 @@
         await site.wait_until(
             lambda: 'p0' not in second.view.fleet.entries, 6.0
         )
-        told = second.recorder.select(target='p0')
-        assert [event.name for event in told][-1] == 'leaving'
+        logged = second.recorder.select(target='p0')
+        assert [event.name for event in logged][-1] == 'leaving'
         second.store = away
 
     site.run(check)
--- a/tests/gateway/test_sweeper.py
+++ b/tests/gateway/test_sweeper.py
@@ -9,12 +9,16 @@
 from landingspool.gateway import sweeper
 from tests.gateway import site
 
-KEPT = [['m.1', 'aa', 500, 'm'], ['m.2', 'aa', 500, 'm'], ['x.1', 'b', 9, 'x']]
+CACHED_PARTS = [
+    ['m.1', 'aa', 500, 'm'],
+    ['m.2', 'aa', 500, 'm'],
+    ['x.1', 'b', 9, 'x'],
+]
 
 
 async def start(deployment):
     """Start a box and a KV cache store that it follows."""
-    keeper, address = await site.start_keeper(list(KEPT))
+    keeper, address = await site.start_keeper(list(CACHED_PARTS))
     deployment.publish(site.make_store_table(2, address))
     hub = await deployment.start_box()
     await site.wait_until(lambda: hub.view.warmth.kept(address))
