--- a/landingspool/boxes/datagrams.py
+++ b/landingspool/boxes/datagrams.py
@@ -10,12 +10,12 @@
 import cbor2
 import msgspec
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 
 KINDS = {
-    'digest': neighbours.Digest,
-    'ask': neighbours.Ask,
-    'tell': neighbours.Tell,
+    'digest': peer_digests.Digest,
+    'ask': peer_digests.Ask,
+    'tell': peer_digests.Tell,
 }
 NAMES = {kind: name for name, kind in KINDS.items()}
 # A datagram that needs more than this is split on the way and easily lost.
@@ -76,7 +76,7 @@
 def encode(message):
     """Encode a message.
 
-    >>> decode(encode(neighbours.Ask('a', 1)))
+    >>> decode(encode(peer_digests.Ask('a', 1)))
     Ask(box='a', number=1)
     """
     return cbor2.dumps([NAMES[type(message)], *message])
--- a/landingspool/boxes/link.py
+++ b/landingspool/boxes/link.py
@@ -20,7 +20,7 @@
 
 from landingspool.boxes import handshake
 from landingspool.decisions import messages
-from landingspool import patience
+from landingspool import timeouts
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 HANDSHAKE_S = 2.0
@@ -125,7 +125,7 @@
             close_timeout=HANDSHAKE_S,
             proxy=None,
         ) as socket:
-            async with patience.Limit(HANDSHAKE_S):
+            async with timeouts.Timeout(HANDSHAKE_S):
                 await self._greet(socket)
             while not outbound.stopped:
                 batch = await outbound.take()
@@ -143,7 +143,7 @@
     async def _accept(self, socket):
         peer = None
         try:
-            async with patience.Limit(HANDSHAKE_S):
+            async with timeouts.Timeout(HANDSHAKE_S):
                 peer = await self._welcome(socket)
             async for frame in socket:
                 self._receive(peer, frame)
--- a/landingspool/gateway/cache_follower.py
+++ b/landingspool/gateway/cache_follower.py
@@ -16,7 +16,7 @@
 import cbor2
 import msgspec
 
-from landingspool.decisions.gateway import warmth
+from landingspool.decisions.gateway import context_index
 from landingspool.gateway import boxcalls
 from landingspool.platform import boot
 from landingspool.platform import runners
@@ -98,7 +98,7 @@
         if table is None:
             return {}
         followed = {}
-        for address in table.keepers:
+        for address in table.context_stores:
             followed[address] = boot.parse_address(address), STORE_PERIOD_S
         if len(self._hub.peering.peers) >= MAX_PEERS_TO_ASK_TARGETS:
             return followed
@@ -122,7 +122,7 @@
     async def _follow(self, name, address, period_s):
         # A box that received the state of a store from a peer continues from
         # there.
-        needs_list = self._hub.view.warmth.get(name) is None
+        needs_list = self._hub.view.context_index.get(name) is None
         while True:
             sent = self._hub.clock()
             if needs_list:
@@ -142,7 +142,7 @@
 
     def _apply(self, name, updates, sent, now):
         """Apply updates; return whether the complete list is needed."""
-        known = self._hub.view.warmth
+        known = self._hub.view.context_index
         index = known.get(name)
         needs_list = known.take(name, updates, sent, now)
         if index is None or index.epoch != updates.epoch:
@@ -152,7 +152,7 @@
         return needs_list
 
     async def _read_events(self, name, address):
-        index = self._hub.view.warmth.get(name)
+        index = self._hub.view.context_index.get(name)
         since = index.next if index is not None else 0
         # A list doesn't give the clock, without which nothing may be offered.
         known = index is not None and index.clock_ms is not None
@@ -174,7 +174,7 @@
             read, whose clock comes with the next answer; MISSING if one of
             them could not be read.
         """
-        stores = self._hub.view.table.keepers
+        stores = self._hub.view.table.context_stores
         sent = self._hub.clock()
         found = await self._fetch_changes(peer, stores)
         if found is None:
@@ -192,7 +192,7 @@
         return LISTED if await self._read_lists(missing) else MISSING
 
     def _is_known(self, name):
-        return self._hub.view.warmth.get(name) is not None
+        return self._hub.view.context_index.get(name) is not None
 
     async def _read_lists(self, names):
         """Read complete lists in groups; return whether all were read."""
@@ -203,14 +203,14 @@
         return all(read)
 
     async def _fetch_changes(self, peer, stores):
-        """Return a peer's News by store, or None if it gave no answer."""
-        known = self._hub.view.warmth
-        positions = {name: known.get_place(name) for name in stores}
+        """Return a peer's CacheUpdate by store, or None if it gave no answer."""
+        known = self._hub.view.context_index
+        positions = {name: known.get_position(name) for name in stores}
         try:
             return await boxcalls.ask(
                 self._hub,
                 peer,
-                dict[str, warmth.News],
+                dict[str, context_index.CacheUpdate],
                 ('POST', CHANGES_PATH),
                 cbor2.dumps(positions),
                 timeout=ANSWER_TIMEOUT_S,
@@ -242,7 +242,7 @@
             self._hub.recorder.record('bad_message', reason=str(error))
             await exchange.send_json(400, {'error': 'not understood'})
             return
-        known, now = self._hub.view.warmth, self._hub.clock()
+        known, now = self._hub.view.context_index, self._hub.clock()
         found = {
             n: known.tell(n, *position, now)
             for n, position in positions.items()
--- a/landingspool/gateway/crash_records.py
+++ b/landingspool/gateway/crash_records.py
@@ -8,7 +8,7 @@
 import asyncio
 import typing
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.platform import catalogue
 from landingspool.platform import names
 from landingspool.platform import store as store_module
@@ -67,7 +67,9 @@
             else:
                 fingerprint = bytes.fromhex(key)
                 notices = [
-                    neighbours.CrashNotice(fingerprint, neighbours.NO_LIFE, 0)
+                    peer_digests.CrashNotice(
+                        fingerprint, peer_digests.NO_INCARNATION, 0
+                    )
                 ]
         except (catalogue.Malformed, ValueError) as error:
             self._hub.recorder.record(
@@ -94,8 +96,8 @@
     def _record_quarantine(self, fingerprint):
         now = self._hub.clock()
         notices = self._crashes.list_notices(fingerprint, now)
-        incarnations = self._hub.view.fleet.list_lives()
-        found = {neighbours.code_target(name): name for name in incarnations}
+        incarnations = self._hub.view.fleet.list_incarnations()
+        found = {peer_digests.hash_target(name): name for name in incarnations}
         self._hub.recorder.record(
             'barred',
             content=fingerprint.hex(),
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -5,7 +5,7 @@
 import time
 import traceback
 
-from landingspool.decisions.gateway import absence
+from landingspool.decisions.gateway import stalls
 from landingspool.decisions.gateway import routes
 from landingspool.decisions.gateway import view as view_module
 from landingspool.decisions import timing
@@ -32,7 +32,7 @@
 from landingspool.platform import runners
 from landingspool.platform import store
 from landingspool import timer as timer_module
-from landingspool import uptime
+from landingspool import boot_clock
 
 # Period of the heartbeat that shows that this process isn't stalled.
 HEARTBEAT_S = 0.1
@@ -73,7 +73,9 @@
         Returns the time of day, seconds since 1970.
     """
 
-    def __init__(self, deployment, seed, clock=uptime.read, wall=time.time):
+    def __init__(
+        self, deployment, seed, clock=boot_clock.read, wall=time.time
+    ):
         self.deployment = deployment
         self.clock = clock
         self.wall = wall
@@ -185,7 +187,7 @@
         """Correct what is known for a stall of this process."""
         self.recorder.record('frozen', seconds=round(stall.seconds, 2))
         self.heartbeat.record(stall.now)
-        absence.exclude_stall(self.view, stall.seconds, stall.now)
+        stalls.exclude_stall(self.view, stall.seconds, stall.now)
         self.sources.exclude_stall(stall.seconds)
         self.resumption.begin(stall)
 
@@ -202,12 +204,12 @@
         self.target_notices.sweep()
         bars = self.view.bars
         self.metrics.record_targets(
-            len(bars.coldness.list_cold(tick.now)),
+            len(bars.cold_targets.list_cold(tick.now)),
             bars.evacuation.describe(tick.now),
-            self.view.partition.is_on,
+            self.view.engine_split.is_on,
         )
         self.metrics.quarantined.set(
-            len(self.view.endings.list_barred(tick.now))
+            len(self.view.endings.list_quarantined(tick.now))
         )
 
     def _log_metrics(self, tick):
@@ -221,18 +223,18 @@
             open=self.listener.count_busy(),
             proof_s=self.view.proof.age_to_log(tick.now),
             stores=self._describe_stores(tick.now),
-            cold=len(self.view.bars.coldness.list_cold(tick.now)),
+            cold=len(self.view.bars.cold_targets.list_cold(tick.now)),
             evacuated=self.view.bars.evacuation.describe(tick.now),
             leaving=self.target_notices.list_leaving(tick.now),
-            resting=self.view.bars.rests.list_resting(tick.now),
+            resting=self.view.bars.backoffs.list_backoffs(tick.now),
         )
 
     def _describe_stores(self, now):
         """Return each store's cached tokens and the age of its index."""
         table = self.view.table
         found = {}
-        for address in table.keepers if table is not None else ():
-            index = self.view.warmth.get(address)
+        for address in table.context_stores if table is not None else ():
+            index = self.view.context_index.get(address)
             if index is not None:
                 age_s = round(now - index.confirmed, 2)
                 found[address] = [index.used, age_s]
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -30,13 +30,13 @@
 
     Attributes
     ----------
-    watch : rollouts.Watch
+    watch : rollouts.ClaimWatch
         Receives every claim that is read.
     """
 
     def __init__(self, hub):
         self._hub = hub
-        self.watch = rollouts.Watch(hub.deployment.bounds.lease_s)
+        self.watch = rollouts.ClaimWatch(hub.deployment.bounds.lease_s)
         self._lease = None
         self._claimed_loading = ()
         # Since when the claim is needed and nobody holds it.
@@ -66,7 +66,7 @@
         for model, named in view.weights.named.items():
             targets = {
                 entry.name: view.fleet.get_version(entry.name, model) or 0
-                for entry in view.list_ordered(model)
+                for entry in view.list_loadable(model)
             }
             if rollouts.is_needed(named.version, targets):
                 rows.append((model, named.version, targets))
@@ -89,7 +89,9 @@
         if self._unclaimed_since is None:
             self._unclaimed_since = now
         rank = self._hub.peering.get_rank(CLAIM_KEY)
-        return now - self._unclaimed_since >= rollouts.find_turn(rank)
+        return now - self._unclaimed_since >= rollouts.compute_claim_delay(
+            rank
+        )
 
     async def _renew_claim(self, loading):
         """Renew the claim if needed; return whether orders may be given.
@@ -99,7 +101,7 @@
         """
         now = self._hub.clock()
         is_held = rollouts.is_held(self._lease, now)
-        is_recent = is_held and rollouts.is_young(self._lease, now)
+        is_recent = is_held and rollouts.is_recent(self._lease, now)
         if is_recent and tuple(loading) == self._claimed_loading:
             return True
         if not await self._claim(loading):
@@ -140,11 +142,13 @@
         for model, version, targets in behind:
             rollout = self._rollouts.setdefault(model, rollouts.Rollout())
             seconds_left = [
-                self._hub.view.find_time_left(name, model, now)
+                self._hub.view.get_time_left(name, model, now)
                 for name, loaded in targets.items()
                 if loaded < version
             ]
-            max_loading = rollouts.find_room(len(targets), seconds_left)
+            max_loading = rollouts.compute_concurrency(
+                len(targets), seconds_left
+            )
             for order in rollout.plan(
                 model, version, targets, max_loading, now
             ):
@@ -251,7 +255,7 @@
             )
         report = await self._hub.runners.report(entry.address)
         if isinstance(report, runners.Report):
-            if report.is_other_life(fleet.read_life(entry.name)):
+            if report.is_other_life(fleet.parse_incarnation(entry.name)):
                 return runners.Unanswered('the target has restarted', True)
             version = report.versions.get(order.model)
             if version is not None:
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from landingspool.boxes import datagrams
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import readers
 from landingspool.decisions import ownership
 from landingspool.gateway import boxcalls
@@ -155,7 +155,7 @@
 
     def has_readers(self):
         """Return whether this domain has boxes that read for others."""
-        return len(self._list_domain_peers()) >= readers.MOST_ALONE
+        return len(self._list_domain_peers()) >= readers.MAX_DIRECT_READERS
 
     def _list_domain_peers(self):
         domain = self._hub.deployment.domain
@@ -197,7 +197,7 @@
         # digests don't arrive continues to spend its part.
         view.boxes = max(view.boxes, len(self.peers) + 1)
         domains = [peer.domain for peer in self.peers.values()]
-        view.others = dict(collections.Counter(domains))
+        view.peers_by_domain = dict(collections.Counter(domains))
         if self._registry.was_read:
             # Without the list, this box may know only few of the others.
             view.bars.shares.set_members(
@@ -227,11 +227,11 @@
         view = self._hub.view
         self._number += 1
         self._sent = now
-        digest = neighbours.Digest(
+        digest = peer_digests.Digest(
             box=self._hub.deployment.box,
             domain=self._hub.deployment.domain,
             number=self._number,
-            loads=neighbours.code_loads(view.loads.list_told()),
+            loads=peer_digests.hash_loads(view.loads.list_told()),
             unreached=view.reach.list_told(),
             rooms=view.rooms,
             link_mbps=self._hub.deployment.link_mbps,
@@ -250,13 +250,13 @@
             return
         self._number += 1
         self._asked_at = {self._number: tick.now}
-        ask = neighbours.Ask(self._hub.deployment.box, self._number)
+        ask = peer_digests.Ask(self._hub.deployment.box, self._number)
         for address in self._pick(PEERS_ASKED):
             self._socket.send(ask, address)
 
     def _pick_digest_receivers(self):
         if not self.peers:
-            return self._pick(neighbours.FAN_OUT)
+            return self._pick(peer_digests.FAN_OUT)
         domain, same_domain, other_domains = (
             self._hub.deployment.domain,
             [],
@@ -266,7 +266,7 @@
             (same_domain if peer.domain == domain else other_domains).append(
                 peer.address
             )
-        return neighbours.pick_told(
+        return peer_digests.pick_recipients(
             same_domain, other_domains, self._hub.view.rng
         )
 
@@ -278,7 +278,7 @@
 
     def _get_proof_age(self):
         proof, now = self._hub.view.proof, self._hub.clock()
-        return round(proof.age_to_tell(now), 3)
+        return round(proof.age_to_send(now), 3)
 
     def _receive(self, message, address):
         HANDLERS[type(message)](self, message, http.Address(*address))
@@ -299,7 +299,7 @@
         view = self._hub.view
         if view.table is None:
             return
-        tell = neighbours.Tell(
+        tell = peer_digests.Tell(
             self._hub.deployment.box,
             ask.number,
             view.table.version,
@@ -373,9 +373,9 @@
 
 
 HANDLERS = {
-    neighbours.Digest: Peering._receive_digest,
-    neighbours.Ask: Peering._receive_ask,
-    neighbours.Tell: Peering._receive_tell,
+    peer_digests.Digest: Peering._receive_digest,
+    peer_digests.Ask: Peering._receive_ask,
+    peer_digests.Tell: Peering._receive_tell,
 }
 
 
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -62,7 +62,7 @@
         was_failed = name in view.reach.list_failed()
         try:
             await self._hub.upstream.probe(
-                entry.address, view.find_kept(entry.service)
+                entry.address, view.get_connection_limit(entry.service)
             )
         except upstream.ExchangeError as error:
             if name in view.fleet.entries:
--- a/landingspool/gateway/sources.py
+++ b/landingspool/gateway/sources.py
@@ -17,7 +17,7 @@
 from landingspool.decisions.gateway import tail as tail_module
 from landingspool.gateway import boxcalls
 from landingspool.platform import store as store_module
-from landingspool import uptime
+from landingspool import boot_clock
 
 RECORDS_PATH = '/records'
 NEWEST_PATH = '/newest'
@@ -260,7 +260,7 @@
         Bytes of keys and values that were sent to other boxes.
     """
 
-    def __init__(self, is_cut, clock=uptime.read):
+    def __init__(self, is_cut, clock=boot_clock.read):
         self.relayed_bytes = 0
         self._is_cut = is_cut
         self._clock = clock
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from landingspool.decisions.gateway import fleet as fleet_module
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.platform import catalogue
 
 
@@ -42,9 +42,9 @@
     targets: dict[str, bytes]
     targets_end: int
     evacuated: list[str] = []
-    endings: list[neighbours.CrashNotice] = []
-    limits: list[neighbours.LimitNotice] = []
-    leaving: list[neighbours.LeavingNotice] = []
+    endings: list[peer_digests.CrashNotice] = []
+    limits: list[peer_digests.LimitNotice] = []
+    leaving: list[peer_digests.LeavingNotice] = []
 
 
 class State:
@@ -90,7 +90,7 @@
         """Return what a box needs that can't reach the store."""
         versions = {m: n.version for m, n in self._view.weights.named.items()}
         return StateSnapshot(
-            proof_s=self._view.proof.age_to_tell(self._hub.clock()),
+            proof_s=self._view.proof.age_to_send(self._hub.clock()),
             table=self._table_value,
             versions=versions,
             targets=self.target_values,
@@ -163,9 +163,9 @@
     def _put_entry(self, entry, value):
         fleet = self._view.fleet
         known = entry.name in fleet.entries
-        before = fleet.find_life(entry.target)
+        before = fleet.get_incarnation(entry.target)
         state = self._view.put_entry(entry, self._hub.clock())
-        if state == fleet_module.OVER:
+        if state == fleet_module.SUPERSEDED:
             return
         self.target_values[entry.target] = value
         if before != entry.name:
@@ -204,7 +204,7 @@
         """Remove a target from the list; return its incarnation's name."""
         fleet = self._view.fleet
         self.target_values.pop(target, None)
-        name = fleet.find_life(target)
+        name = fleet.get_incarnation(target)
         if name in fleet.entries:
             self._hub.recorder.record(
                 'target_down', target=name, sure=not unconfirmed
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -12,7 +12,7 @@
 
 import asyncio
 
-from landingspool.decisions.gateway import leftovers
+from landingspool.decisions.gateway import garbage
 from landingspool.decisions import ownership
 from landingspool.platform import boot
 from landingspool.platform import runners
@@ -40,8 +40,8 @@
 
     def __init__(self, hub):
         self._hub = hub
-        self._garbage = leftovers.Leftovers()
-        self._abandoned = leftovers.Broken()
+        self._garbage = garbage.OldestVersions()
+        self._abandoned = garbage.IncompleteParts()
         self._listed = {}
 
     async def run(self):
@@ -60,7 +60,7 @@
         view, now = self._hub.view, self._hub.clock()
         found = []
         for model in view.weights.named:
-            min_version = leftovers.find_least(
+            min_version = garbage.get_oldest_version(
                 model, view.fleet, view.list_services()
             )
             before = self._garbage.record(model, min_version, now)
@@ -77,21 +77,21 @@
             or self._hub.peering.pick_store_follower() is not None
         ):
             return
-        for address, store in table.keepers.items():
+        for address, store in table.context_stores.items():
             if store.managed:
                 await self._free(address, model, min_version)
 
     async def _free(self, address, model, min_version):
         """Free these parts in one store, as many as one call frees."""
         view, now = self._hub.view, self._hub.clock()
-        index = view.warmth.get(address)
-        if index is None or not view.warmth.may_fetch(address, now):
+        index = view.context_index.get(address)
+        if index is None or not view.context_index.may_fetch(address, now):
             return
-        parts = leftovers.list_old(index.kept, model, min_version)
+        parts = garbage.list_stale(index.cached, model, min_version)
         if not parts or not self._hub.heartbeat.is_fresh(now):
             return
         age_s = now - index.confirmed
-        until_ms = index.clock_ms + (age_s + leftovers.ARRIVE_S) * 1000
+        until_ms = index.clock_ms + (age_s + garbage.CALL_TIMEOUT_S) * 1000
         done = await self._hub.runners.free(
             boot.parse_address(address), index.epoch, parts, until_ms
         )
@@ -111,7 +111,7 @@
         boxes = [self._hub.deployment.box, *self._hub.peering.peers]
         return [
             address
-            for address, store in table.keepers.items()
+            for address, store in table.context_stores.items()
             if store.managed
             and ownership.find_owner(address, boxes)
             == self._hub.deployment.box
@@ -137,8 +137,8 @@
 
     async def _check(self, address):
         """Read the complete list of a store and free abandoned parts."""
-        hub, warmth = self._hub, self._hub.view.warmth
-        index = warmth.get(address)
+        hub, context_index = self._hub, self._hub.view.context_index
+        index = context_index.get(address)
         if index is None or index.clock_ms is None:
             return
         clock_ms, asked = index.clock_ms, index.confirmed
@@ -153,8 +153,10 @@
         if updates.epoch != index.epoch:
             # The store has restarted: its follower applies the new epoch.
             return
-        warmth.take(address, updates._replace(clock_ms=clock_ms), sent, now)
-        index = warmth.get(address)
+        context_index.take(
+            address, updates._replace(clock_ms=clock_ms), sent, now
+        )
+        index = context_index.get(address)
         hub.view.rooms[address] = index.epoch, index.taken
         parts = self._abandoned.record(address, index, now)
         if not parts:
@@ -164,7 +166,7 @@
             boot.parse_address(address), index.epoch, parts, until_ms
         )
         if done:
-            warmth.forget_unwhole(address, parts)
+            context_index.forget_incomplete(address, parts)
         hub.recorder.record(
             'swept_broken', store=address, parts=len(parts), done=done
         )
--- a/landingspool/gateway/target_notices.py
+++ b/landingspool/gateway/target_notices.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.gateway import crash_records
 from landingspool.platform import limits as field
 from landingspool.platform import notices as notices_module
@@ -33,7 +33,7 @@
         self._limits = hub.view.bars.limits
         self._unreadable = set()
         self._leaving = hub.view.bars.leaving
-        self._backoffs = hub.view.bars.rests
+        self._backoffs = hub.view.bars.backoffs
 
     def take(self, name, notices, asked, certain=True):
         """Apply the notices of one answer of a target.
@@ -83,8 +83,8 @@
         leaving = crash_records.pop_all(self._leaving.fresh)
         if not limits and not leaving:
             return
-        incarnations = self._hub.view.fleet.list_lives()
-        names = {neighbours.code_target(name): name for name in incarnations}
+        incarnations = self._hub.view.fleet.list_incarnations()
+        names = {peer_digests.hash_target(name): name for name in incarnations}
         self._log_limits(limits, names)
         self._log_leaving(leaving, names)
 
@@ -133,10 +133,12 @@
         }
         now = self._hub.clock()
         named = self._limits.list_named(entries)
-        used = {name: self._limits.find_used(name, now) for name in named}
+        used = {
+            name: self._limits.compute_used_rate(name, now) for name in named
+        }
         self._hub.metrics.record_limits(named, used, now)
         self._hub.metrics.record_leaving(self.list_leaving(now))
-        self._hub.metrics.record_backoffs(self._backoffs.list_resting(now))
+        self._hub.metrics.record_backoffs(self._backoffs.list_backoffs(now))
 
     def list_leaving(self, now):
         """Return the seconds since listed targets announced their leaving."""
@@ -160,11 +162,13 @@
 
     def _apply_backoff(self, name, rest):
         if isinstance(rest, notices_module.Rest):
-            self._backoffs.record_asked(name, rest.seconds, self._hub.clock())
+            self._backoffs.record_backoff(
+                name, rest.seconds, self._hub.clock()
+            )
 
     def _apply_leaving(self, name, leaving):
         if isinstance(leaving, notices_module.Leaving):
-            self._leaving.record_told(name, self._hub.clock())
+            self._leaving.record_reported(name, self._hub.clock())
 
     def _record_unreadable(self, name, title, text):
         # A notice that a target repeats is logged once.
--- a/landingspool/platform/__main__.py
+++ b/landingspool/platform/__main__.py
@@ -7,10 +7,10 @@
 import sys
 
 from landingspool.gateway import hub as hub_module
-from landingspool import lines
+from landingspool import log_sink
 from landingspool.platform import boot
 from landingspool import settings
-from landingspool import uptime
+from landingspool import boot_clock
 
 BAD_SETTINGS = 2
 
@@ -54,10 +54,10 @@
         print(settings.format_error(error), file=sys.stderr)
     if errors:
         return BAD_SETTINGS
-    lines.configure(deployment.box)
+    log_sink.configure(deployment.box)
     # What was imported stays for good and need not be looked at again.
     gc.freeze()
-    uptime.run(serve(deployment))
+    boot_clock.run(serve(deployment))
     return 0
 
 
--- a/landingspool/platform/catalogue.py
+++ b/landingspool/platform/catalogue.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from landingspool.decisions.gateway import coldness
+from landingspool.decisions.gateway import cold_targets
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import rollouts
 from landingspool.decisions.gateway import routes
 from landingspool.platform import boot
@@ -107,8 +107,8 @@
         health_path=row.get('health_path', ''),
         max_connections=int(row.get('max_connections', 64)),
         engine=read_engine(row.get('engine')),
-        keeper=read_keeper(row),
-        cold=coldness.Bound(
+        context_store=read_keeper(row),
+        cold=cold_targets.Bound(
             float(row.get('cold_start_s') or 0),
             float(row.get('cold_per_s') or 0),
         ),
@@ -133,7 +133,7 @@
     """Decode a store of kept context; None for other services."""
     if not row.get('kv_store_addr'):
         return None
-    return routes.Keeper(
+    return routes.ContextStore(
         address=row['kv_store_addr'],
         domain=row.get('zone', ''),
         capacity_tokens=int(row.get('kv_capacity', 0)),
@@ -225,7 +225,7 @@
     try:
         row = TARGET_DECODER.decode(value)
         return fleet.Entry(
-            name=fleet.Life(check_id(target), row.born).name,
+            name=fleet.Incarnation(check_id(target), row.born).name,
             service=row.service,
             address=read_address(row.address),
             domain=row.zone,
@@ -245,7 +245,11 @@
     ------
     ValueError
     """
-    if not target or fleet.LIFE_SIGN in target or not target.isascii():
+    if (
+        not target
+        or fleet.INCARNATION_SEPARATOR in target
+        or not target.isascii()
+    ):
         raise ValueError('no id of a target')
     return target
 
@@ -291,7 +295,7 @@
 def read_endings(key, value, wall):
     """Decode the targets that ended under a request, as CrashNotice.
 
-    >>> word = neighbours.CrashNotice(b'f', 7, 500)
+    >>> word = peer_digests.CrashNotice(b'f', 7, 500)
     >>> read_endings('66', write_endings([word], 10.0), 12.0)
     [CrashNotice(fingerprint=b'f', life=7, age_ms=2500)]
 
@@ -302,7 +306,7 @@
     try:
         fingerprint = bytes.fromhex(key)
         return [
-            neighbours.CrashNotice(
+            peer_digests.CrashNotice(
                 fingerprint, int(life), max(int(wall * 1000) - int(at), 0)
             )
             for life, at in json.loads(value)
--- a/landingspool/platform/runners.py
+++ b/landingspool/platform/runners.py
@@ -4,7 +4,7 @@
 import json
 
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import warmth
+from landingspool.decisions.gateway import context_index
 from landingspool import http
 from landingspool.platform import catalogue
 from landingspool.platform import names
@@ -26,7 +26,7 @@
     born: int = 0
 
     def is_other_life(self, life):
-        """Tell whether it is not of this fleet.Life."""
+        """Tell whether it is not of this fleet.Incarnation."""
         return bool(self.born and life.born and self.born != life.born)
 
 
@@ -112,7 +112,7 @@
         }
         headers = [
             ('content-type', 'application/json'),
-            (names.ONLY_TARGET, fleet.read_life(order.target).target),
+            (names.ONLY_TARGET, fleet.parse_incarnation(order.target).target),
         ]
         data = json.dumps(body).encode()
         reply = await self._call(
@@ -125,7 +125,7 @@
         return Refused(reply.status, reply.status == 412)
 
     async def read_events(self, address, since, hold_s):
-        """Read the cache events after `since`; a warmth.News or Unanswered."""
+        """Read the cache events after `since`; a warmth.CacheUpdate or Unanswered."""
         headers = [(names.WAIT, str(int(hold_s * 1000)))]
         path = f'{names.EVENTS_PATH}?since={since}'
         reply = await self._call(
@@ -134,7 +134,7 @@
         return read_news(reply, read_event, 'events')
 
     async def read_list(self, address):
-        """Read all that is kept; a warmth.News or Unanswered."""
+        """Read all that is kept; a warmth.CacheUpdate or Unanswered."""
         reply = await self._call(address, 'GET', names.LIST_PATH)
         return read_news(reply, read_held, 'held')
 
@@ -181,7 +181,7 @@
         return Unanswered(f'status {reply.status}', True)
     try:
         row = reply.json()
-        return warmth.News(
+        return context_index.CacheUpdate(
             epoch=row['epoch'],
             # Where the next call begins; the name says token, it counts
             # events.
@@ -190,7 +190,7 @@
             changes=tuple(read_row(change) for change in row[field]),
             whole=field == 'held',
             clock_ms=row.get('clock_ms'),
-            unwhole=tuple(map(read_unwhole, row.get('partial') or ())),
+            incomplete=tuple(map(read_incomplete, row.get('partial') or ())),
         )
     except (ValueError, KeyError, TypeError, IndexError) as error:
         return Unanswered(f'{field}: {error!r}', True)
@@ -202,18 +202,20 @@
     >>> read_event([119, '+', 's1', '5c', 800, 'm'])
     Change(space='s1', part='5c', tokens=800)
     """
-    return warmth.Change(row[2], row[3], int(row[4]))
+    return context_index.Change(row[2], row[3], int(row[4]))
 
 
 def read_held(row):
     """Decode one row of a list."""
-    return warmth.Change(row[0], row[1], int(row[2]))
+    return context_index.Change(row[0], row[1], int(row[2]))
 
 
-def read_unwhole(row):
+def read_incomplete(row):
     """Decode one row of the parts in a list that are not whole.
 
-    >>> read_unwhole(['s1', '5c', 100, 800])
-    Unwhole(space='s1', part='5c', tokens=100, room=800)
+    >>> read_incomplete(['s1', '5c', 100, 800])
+    IncompletePart(space='s1', part='5c', tokens=100, room=800)
     """
-    return warmth.Unwhole(row[0], row[1], int(row[2]), int(row[3]))
+    return context_index.IncompletePart(
+        row[0], row[1], int(row[2]), int(row[3])
+    )
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -108,11 +108,11 @@
     tuple of (runner.Runner, str)
         The store and its address, host and port.
     """
-    keeper = runner_module.Runner('keeper')
-    await keeper.start()
-    keeper.events = events
-    host, port = keeper.address[:2]
-    return keeper, f'{host}:{port}'
+    context_store = runner_module.Runner('keeper')
+    await context_store.start()
+    context_store.events = events
+    host, port = context_store.address[:2]
+    return context_store, f'{host}:{port}'
 
 
 def find_port():
--- a/tests/gateway/test_leaving_words.py
+++ b/tests/gateway/test_leaving_words.py
@@ -118,7 +118,7 @@
         hub.upstream.open = open_later
         work = asyncio.ensure_future(site.ask(hub, '/unsafe/a'))
         await asyncio.sleep(LATER_S / 2)
-        hub.view.bars.leaving.record_told('p0', hub.clock())
+        hub.view.bars.leaving.record_reported('p0', hub.clock())
         assert (await work).status == 503
         assert not runner.heads
 
@@ -150,7 +150,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         leaving, other = deployment.engines
-        hub.view.bars.leaving.record_told(leaving.name, hub.clock())
+        hub.view.bars.leaving.record_reported(leaving.name, hub.clock())
         deployment.store.put(
             'keyed.op', 'version/m', {'model': 'm', 'version': 2}
         )
--- a/tests/gateway/test_limit_words.py
+++ b/tests/gateway/test_limit_words.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from landingspool.decisions.gateway import limits as limits_module
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import shares
 from landingspool import http
 from landingspool.platform import limits as field
@@ -103,11 +103,11 @@
     """The ages in a digest lack the time for which it was on its way."""
     limits = limits_module.Limits(shares.Shares())
     limits.record_named('t', 2.0, 9.9, 10.0)
-    life = neighbours.code_target('t')
+    life = peer_digests.hash_target('t')
     # Asked at 9.5, told at 9.7, and half a second on its way.
-    limits.take(neighbours.LimitNotice(life, 0.0, 200, 100), 'box', 10.2)
+    limits.take(peer_digests.LimitNotice(life, 0.0, 200, 100), 'box', 10.2)
     assert limits.find('t').per_s == 2.0
-    limits.take(neighbours.LimitNotice(life, 0.0, 200, 100), 'box', 11.3)
+    limits.take(peer_digests.LimitNotice(life, 0.0, 200, 100), 'box', 11.3)
     assert limits.find('t') is None
 
 
--- a/tests/gateway/test_readers.py
+++ b/tests/gateway/test_readers.py
@@ -39,7 +39,8 @@
     )
     await site.wait_until(
         lambda: all(
-            h.view.warmth.kept(address).get(('m.1', 'aa')) == 500 for h in hubs
+            h.view.context_index.cached(address).get(('m.1', 'aa')) == 500
+            for h in hubs
         )
     )
 
@@ -52,7 +53,7 @@
 
     async def main():
         async with site.Site(plain=1) as deployment:
-            keeper, address = await site.start_keeper(list(KEPT))
+            context_store, address = await site.start_keeper(list(KEPT))
             deployment.publish(site.make_store_table(2, address))
             hubs = await start_boxes(deployment, **wide)
             members = [h for h in hubs if h.peering.pick_reader() is not None]
@@ -70,7 +71,7 @@
                 for hub in members
                 for name in hub.store.calls
             )
-            await keeper.close()
+            await context_store.close()
 
     asyncio.run(main())
 
