--- /dev/null
+++ b/landingspool/gateway/crash_records.py
@@ -0,0 +1,147 @@
+"""Store which requests crashed targets, and log their quarantine.
+
+What boxes gossip about crashes is lost when they all stop.  So what
+quarantines a request is also written into the platform's store.  A box that
+starts, or was cut off, reads it there.
+"""
+
+import asyncio
+import typing
+
+from landingspool.decisions.gateway import peer_digests
+from landingspool.platform import catalogue
+from landingspool.platform import names
+from landingspool.platform import store as store_module
+
+# Seconds that a box leaves to each box before it, in the hash order of all
+# boxes, to write what all of them know.  One of them writes the record, and
+# the others read it within a few milliseconds.
+TURN_S = 0.5
+# Seconds for which a failed write waits at most for the store to answer any
+# read.
+MAX_WAIT_S = 5.0
+
+
+class PendingWrite(typing.NamedTuple):
+    """A record to write at a time unless another box has written it."""
+
+    value: bytes
+    at: float
+
+
+class CrashRecords:
+    """Keep the crashes that quarantine requests in the platform's store.
+
+    Parameters
+    ----------
+    hub
+        The box's parts: `view`, `store`, `recorder`, `clock`, `wall`.
+    """
+
+    def __init__(self, hub):
+        self._hub = hub
+        self._crashes = hub.view.endings
+        self._pending = {}
+        self._written = {}
+        self._wake = asyncio.Event()
+
+    def check(self):
+        """Log new and lifted quarantines, and have them written."""
+        endings = self._crashes
+        for fingerprint in pop_all(endings.fresh):
+            self._record_quarantine(fingerprint)
+        for fingerprint in pop_all(endings.lifted):
+            self._hub.recorder.record('bar_lifted', content=fingerprint.hex())
+            self._put(fingerprint, b'')
+
+    def take(self, record):
+        """Apply a record of any box; an empty value lifts a quarantine."""
+        now = self._hub.clock()
+        key = record.key.removeprefix(names.ENDINGS_KEY)
+        self._written[key] = record.value
+        try:
+            if record.value:
+                notices = catalogue.read_endings(
+                    key, record.value, self._hub.wall()
+                )
+            else:
+                fingerprint = bytes.fromhex(key)
+                notices = [
+                    peer_digests.CrashNotice(
+                        fingerprint, peer_digests.NO_INCARNATION, 0
+                    )
+                ]
+        except (catalogue.Malformed, ValueError) as error:
+            self._hub.recorder.record(
+                'malformed', key=record.key, reason=str(error)
+            )
+            return
+        for notice in notices:
+            self._crashes.take(notice, now)
+        self.check()
+
+    def list_due(self):
+        """List the keys of the records that are still to be written."""
+        return list(self._pending)
+
+    async def run(self):
+        """Write pending records until cancelled."""
+        while True:
+            await self._wake.wait()
+            self._wake.clear()
+            while self._pending:
+                key = min(self._pending, key=lambda row: self._pending[row].at)
+                await self._write(key, self._pending[key])
+
+    def _record_quarantine(self, fingerprint):
+        now = self._hub.clock()
+        notices = self._crashes.list_notices(fingerprint, now)
+        incarnations = self._hub.view.fleet.list_incarnations()
+        found = {peer_digests.hash_target(name): name for name in incarnations}
+        self._hub.recorder.record(
+            'barred',
+            content=fingerprint.hex(),
+            targets=[
+                found.get(notice.life, notice.life) for notice in notices
+            ],
+            ages_ms=[notice.age_ms for notice in notices],
+        )
+        wall = self._hub.wall()
+        self._put(fingerprint, catalogue.write_endings(notices, wall))
+
+    def _put(self, fingerprint, value):
+        key = fingerprint.hex()
+        turn = self._hub.peering.get_rank(key)
+        self._pending[key] = PendingWrite(
+            value, self._hub.clock() + turn * TURN_S
+        )
+        self._wake.set()
+
+    async def _write(self, key, write):
+        """Write one record in this box's turn if nobody has written it yet."""
+        left_s = write.at - self._hub.clock()
+        if left_s > 0:
+            await asyncio.sleep(min(left_s, TURN_S))
+        elif not self._is_written(key, write.value):
+            reply = await self._hub.store.append(
+                names.CLAIMS_TOPIC, f'{names.ENDINGS_KEY}{key}', write.value
+            )
+            if isinstance(reply, store_module.Unavailable):
+                await self._hub.sources.wait_answered(MAX_WAIT_S)
+                return
+            self._written[key] = write.value
+        if (
+            self._is_written(key, write.value)
+            and self._pending.get(key) == write
+        ):
+            del self._pending[key]
+
+    def _is_written(self, key, value):
+        return bool(self._written.get(key)) == bool(value)
+
+
+def pop_all(rows):
+    """Empty a list and return what it held."""
+    taken = list(rows)
+    rows.clear()
+    return taken
--- a/tests/gateway/test_sweeper.py
+++ b/tests/gateway/test_sweeper.py
@@ -1,4 +1,4 @@
-"""Parts of replaced weights leave the stores, and nothing else does."""
+"""Garbage is freed from the KV cache stores, and nothing else is."""
 
 import asyncio
 import itertools
@@ -9,12 +9,16 @@
 from landingspool.gateway import sweeper
 from tests.gateway import site
 
-KEPT = [['m.1', 'aa', 500, 'm'], ['m.2', 'aa', 500, 'm'], ['x.1', 'b', 9, 'x']]
+CACHED_PARTS = [
+    ['m.1', 'aa', 500, 'm'],
+    ['m.2', 'aa', 500, 'm'],
+    ['x.1', 'b', 9, 'x'],
+]
 
 
 async def start(deployment):
-    """Start a box and a store of kept context that it follows."""
-    context_store, address = await site.start_keeper(list(KEPT))
+    """Start a box and a KV cache store that it follows."""
+    context_store, address = await site.start_keeper(list(CACHED_PARTS))
     deployment.publish(site.make_store_table(2, address))
     hub = await deployment.start_box()
     await site.wait_until(lambda: hub.view.context_index.cached(address))
@@ -22,7 +26,7 @@
 
 
 def load(deployment, *engines):
-    """Let targets say that they have new weights."""
+    """Have targets announce that they have new weights."""
     for engine in engines:
         engine.version = 2
         deployment.announce(engine, 'engine', model='m')
@@ -30,7 +34,7 @@
 
 def test_parts_go_a_time_after_the_last_target_left_their_weights(monkeypatch):
     monkeypatch.setattr(garbage, 'FREE_AFTER_S', 1.0)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
         hub, context_store = await start(deployment)
@@ -60,7 +64,7 @@
 
 def test_a_store_in_another_life_frees_nothing(monkeypatch):
     monkeypatch.setattr(garbage, 'FREE_AFTER_S', 0.2)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
         _, context_store = await start(deployment)
@@ -80,8 +84,8 @@
 
 def test_parts_that_broke_off_are_freed_by_one_box(monkeypatch):
     monkeypatch.setattr(garbage, 'INCOMPLETE_S', 0.5)
-    monkeypatch.setattr(sweeper, 'LIST_S', 0.3)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'LIST_PERIOD_S', 0.3)
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
         hub, context_store = await start(deployment)
@@ -97,7 +101,7 @@
             context_store.partial[-1][2] = written
         assert context_store.freed == [('m.1', 'half')]
         (address,) = hub.view.table.context_stores
-        # Both know of the room that the part under way takes.
+        # Both know the capacity that the part being written takes.
         await site.wait_until(
             lambda: all(
                 h.view.context_index.get(address).extra == 800
@@ -110,7 +114,7 @@
 
 
 def test_a_store_that_another_box_owns_now_is_told_of_no_more(monkeypatch):
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
         hub, context_store = await start(deployment)
--- a/tests/gateway/test_turned_away.py
+++ b/tests/gateway/test_turned_away.py
@@ -67,7 +67,7 @@
         passed = asyncio.get_running_loop().time() - start
         for hub in hubs:
             if hub.view.table.version == 5 or passed > max_s:
-                delays.setdefault(hub.place.box, round(passed, 2))
+                delays.setdefault(hub.deployment.box, round(passed, 2))
         await asyncio.sleep(0.01)
     return delays
 
@@ -114,7 +114,7 @@
         hubs = await start_boxes(deployment, BOXES)
         await asyncio.sleep(SETTLED_S)
         for name in RANKED[:mute]:
-            hubs[name].offer.answer_records = answer_late
+            hubs[name].record_server.answer_records = answer_late
         # Reads that are pending are still answered.
         await asyncio.sleep(readers.plan_ages(BOUND_S).chained_s + 0.1)
         delays = await measure_delays(
