--- a/landingspool/boxes/__init__.py
+++ b/landingspool/boxes/__init__.py
@@ -1,1 +1,1 @@
-"""Links between our own boxes."""
+"""Transport between boxes: authenticated links and datagrams."""
--- a/landingspool/boxes/datagrams.py
+++ b/landingspool/boxes/datagrams.py
@@ -1,7 +1,7 @@
-"""Small messages between boxes, as datagrams of CBOR.
+"""Sends small messages between boxes as UDP datagrams of CBOR.
 
-For what is soon said again: a datagram that is lost is not missed, and
-there is no connection whose state could be wrong after a partition.
+Meant for messages that are repeated soon, so that a lost datagram does no
+harm.  There is no connection whose state could be wrong after a partition.
 """
 
 import asyncio
@@ -12,25 +12,25 @@
 
 from landingspool.decisions.gateway import neighbours
 
-KINDS = {
+MESSAGE_TYPES = {
     'digest': neighbours.Digest,
     'ask': neighbours.Ask,
     'tell': neighbours.Tell,
 }
-NAMES = {kind: name for name, kind in KINDS.items()}
-# A datagram that needs more than this is split on the way and easily lost.
-MOST_BYTES = 8192
+MESSAGE_NAMES = {kind: name for name, kind in MESSAGE_TYPES.items()}
+# A larger datagram is fragmented on the way and therefore easily lost.
+MAX_DATAGRAM_BYTES = 8192
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """The socket of one box.
+    """UDP socket of one box.
 
     Parameters
     ----------
     on_message : callable
         ``on_message(message, address)``.
     on_bad : callable
-        ``on_bad(reason)`` for a datagram that can't be read.
+        ``on_bad(reason)`` for a datagram that can't be decoded.
     """
 
     def __init__(self, on_message, on_bad):
@@ -46,11 +46,11 @@
         )
 
     def connection_made(self, transport):
-        """Keep the transport (asyncio)."""
+        """Store the transport (asyncio callback)."""
         self._transport = transport
 
     def datagram_received(self, data, address):
-        """Decode one datagram (asyncio)."""
+        """Decode and deliver one datagram (asyncio callback)."""
         message = decode(data)
         if message is None:
             self._on_bad(f'{len(data)} bytes from {address[0]}')
@@ -58,12 +58,18 @@
         self._on_message(message, address)
 
     def error_received(self, error):
-        """Ignore that a peer is away (asyncio): its silence tells enough."""
+        """Ignore send errors (asyncio callback).
+
+        An unreachable peer is detected by its missing messages.
+        """
 
     def send(self, message, address):
-        """Send a message; it may be lost."""
+        """Send a message without any guarantee of delivery.
+
+        A message over `MAX_DATAGRAM_BYTES` is dropped.
+        """
         data = encode(message)
-        if self._transport is None or len(data) > MOST_BYTES:
+        if self._transport is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         self._transport.sendto(data, tuple(address))
 
@@ -79,18 +85,18 @@
     >>> decode(encode(neighbours.Ask('a', 1)))
     Ask(box='a', number=1)
     """
-    return cbor2.dumps([NAMES[type(message)], *message])
+    return cbor2.dumps([MESSAGE_NAMES[type(message)], *message])
 
 
 def decode(data):
-    """Decode a message; None where it is none of ours.
+    """Decode a message; None if it is not a valid message of a box.
 
     >>> decode(b'nonsense') is None
     True
     """
     try:
         name, *fields = cbor2.load(io.BytesIO(data))
-        return msgspec.convert(fields, KINDS[name])
+        return msgspec.convert(fields, MESSAGE_TYPES[name])
     except (
         cbor2.CBORError,
         msgspec.ValidationError,
--- a/landingspool/boxes/handshake.py
+++ b/landingspool/boxes/handshake.py
@@ -1,8 +1,8 @@
-"""How two boxes make sure of each other before they talk.
+"""Mutual authentication of two boxes when a link is opened.
 
-The shared secret never goes over the wire: each side proves that it has it
-by a digest over the other's nonce.  A version that differs ends the link
-with a reason, so that a mixed fleet fails loudly.
+The shared secret is never sent: each side proves that it knows it with an
+HMAC over the nonce of the other side.  Differing protocol versions close the
+link with a reason, so that a fleet of mixed versions fails visibly.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 
 
 class Hello(typing.NamedTuple):
-    """What one side says of itself."""
+    """Identity that one side presents, with its proof of the secret."""
 
     version: int
     box: str
@@ -26,25 +26,25 @@
 
 
 class Refused(Exception):
-    """The other side is not one of ours, or not of this version."""
+    """The peer failed authentication or speaks another protocol version."""
 
 
-def prove(secret, nonce, box):
-    """Give the proof of the secret for the other side's nonce."""
+def compute_proof(secret, nonce, box):
+    """Return the HMAC that proves the secret for the peer's nonce."""
     data = nonce + box.encode()
     return hmac.digest(secret.encode(), data, hashlib.sha256)
 
 
 def read_hello(value, secret, nonce):
-    """Check the other side's Hello.
+    """Decode and verify the Hello of the peer.
 
     Parameters
     ----------
     value : object
-        As decoded from the wire.
+        Decoded CBOR, not yet validated.
     secret : str
     nonce : bytes
-        The nonce that was sent to the other side.
+        Nonce that was sent to the peer.
 
     Returns
     -------
@@ -53,7 +53,7 @@
     Raises
     ------
     Refused
-        With the reason.
+        With the reason as its text.
     """
     try:
         hello = msgspec.convert(value, Hello)
@@ -61,7 +61,7 @@
         raise Refused(f'bad hello: {error}') from error
     if hello.version != VERSION:
         raise Refused(f'version {hello.version}, here {VERSION}')
-    wanted = prove(secret, nonce, hello.box)
-    if not hmac.compare_digest(wanted, hello.proof):
+    expected_proof = compute_proof(secret, nonce, hello.box)
+    if not hmac.compare_digest(expected_proof, hello.proof):
         raise Refused('wrong secret')
     return hello
--- a/landingspool/boxes/link.py
+++ b/landingspool/boxes/link.py
@@ -1,11 +1,11 @@
-"""Links between our own boxes: websockets that carry CBOR.
-
-A link is opened when there is something to send and closed when it is
-idle, so a box holds links to those it works with and not to all.  Each
-direction has its own link and its own bounded queue.  When a queue is full
-the messages that are repeated anyway (probes, summaries, loans) are
-dropped first; a vital one (asks, grants, places) closes the link in place
-of being lost unseen, since its sender then asks again.
+"""Links between boxes: websockets that carry messages in CBOR.
+
+A link is opened when there is a message to send and closed when idle, so a
+box holds links only to the peers that it exchanges messages with.  Each
+direction has its own link and its own bounded queue.  When a queue is full,
+messages that are repeated anyway (probes, summaries, loans) are dropped
+first.  If only vital messages (asks, grants, slots) are queued, the link is
+closed in place of losing one unnoticed, since the senders then ask again.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 HANDSHAKE_S = 2.0
 IDLE_S = 60.0
-REST_S = 0.25
-BATCH = 64
+RECONNECT_DELAY_S = 0.25
+MAX_BATCH_MESSAGES = 64
 
 
 class Identity(typing.NamedTuple):
-    """Who this box is towards its peers."""
+    """Identity that this box presents to its peers."""
 
     box: str
     domain: str
@@ -39,24 +39,27 @@
 
 
 class Links:
-    """All links of one box.
+    """Incoming and outgoing links of one box.
 
     Parameters
     ----------
     identity : Identity
-    find : callable
-        ``find(box)`` gives the Address of a box's links, or None.
+    find_address : callable
+        ``find_address(box)`` returns the Address on which a box accepts
+        links, or None.
     deliver : callable
-        ``deliver(sender, message)`` takes each message that came in.
+        ``deliver(sender, message)`` is called for each received message.
     recorder : events.Recorder
     metrics : metrics.Metrics
     limit : int
-        Messages that wait for one peer at the most.
+        Maximum number of messages queued for one peer.
     """
 
-    def __init__(self, identity, find, deliver, recorder, metrics, limit):
+    def __init__(
+        self, identity, find_address, deliver, recorder, metrics, limit
+    ):
         self._identity = identity
-        self._find = find
+        self._find_address = find_address
         self._deliver = deliver
         self._recorder = recorder
         self._metrics = metrics
@@ -65,7 +68,7 @@
         self._server = None
 
     async def start(self, host, port):
-        """Listen; returns the host and the port in use."""
+        """Start listening; returns the host and port in use."""
         self._server = await ws_server.serve(
             self._accept,
             host,
@@ -84,7 +87,7 @@
             self._server.close()
 
     def send(self, box, message):
-        """Queue a message for a box; never waits."""
+        """Queue a message for a box without waiting."""
         outbound = self._out.get(box)
         if outbound is None or outbound.ended:
             outbound = Outbound(box, self._limit)
@@ -106,13 +109,14 @@
                 'link_refused', peer=outbound.box, reason=str(error)
             )
         finally:
-            # What was queued is lost with the link: those who wait for an
-            # answer ask again, and a short rest keeps a dead peer cheap.
-            await asyncio.sleep(REST_S)
+            # Queued messages are lost with the link; senders that wait for
+            # an answer ask again.  The short delay bounds the cost of
+            # reconnecting to a dead peer.
+            await asyncio.sleep(RECONNECT_DELAY_S)
             outbound.ended = True
 
     async def _connect(self, outbound):
-        address = self._find(outbound.box)
+        address = self._find_address(outbound.box)
         if address is None:
             return
         uri = f'ws://{address.host}:{address.port}'
@@ -126,17 +130,17 @@
             proxy=None,
         ) as socket:
             async with patience.Limit(HANDSHAKE_S):
-                await self._greet(socket)
+                await self._authenticate_to_peer(socket)
             while not outbound.stopped:
                 batch = await outbound.take()
                 if not batch:
                     return
                 await socket.send(self._encode(batch))
 
-    async def _greet(self, socket):
-        theirs = cbor2.loads(await socket.recv())
+    async def _authenticate_to_peer(self, socket):
+        peer_nonce = cbor2.loads(await socket.recv())
         nonce = secrets.token_bytes(16)
-        await socket.send(cbor2.dumps(self._hello(theirs, nonce)))
+        await socket.send(cbor2.dumps(self._hello(peer_nonce, nonce)))
         reply = cbor2.loads(await socket.recv())
         handshake.read_hello(reply, self._identity.secret, nonce)
 
@@ -144,7 +148,7 @@
         peer = None
         try:
             async with patience.Limit(HANDSHAKE_S):
-                peer = await self._welcome(socket)
+                peer = await self._authenticate_peer(socket)
             async for frame in socket:
                 self._receive(peer, frame)
         except (TimeoutError, websockets.WebSocketException):
@@ -155,7 +159,7 @@
             self._recorder.record('link_refused', peer=name, reason=reason)
             await socket.close(1008, 'refused')
 
-    async def _welcome(self, socket):
+    async def _authenticate_peer(self, socket):
         nonce = secrets.token_bytes(16)
         await socket.send(cbor2.dumps(nonce))
         value = cbor2.loads(await socket.recv())
@@ -164,11 +168,11 @@
         await socket.send(cbor2.dumps(reply))
         return hello
 
-    def _hello(self, theirs, nonce):
-        if not isinstance(theirs, bytes):
+    def _hello(self, peer_nonce, nonce):
+        if not isinstance(peer_nonce, bytes):
             raise handshake.Refused('bad nonce')
         own = self._identity
-        proof = handshake.prove(own.secret, theirs, own.box)
+        proof = handshake.compute_proof(own.secret, peer_nonce, own.box)
         version = handshake.VERSION
         hello = (version, own.box, own.domain, own.incarnation, nonce, proof)
         return list(hello)
@@ -198,7 +202,7 @@
 
 
 class Outbound:
-    """The queue towards one peer."""
+    """Send queue of the link to one peer."""
 
     def __init__(self, box, limit):
         self.box = box
@@ -206,26 +210,26 @@
         self.stopped = False
         self.task = None
         self._limit = limit
-        self._rows = collections.deque()
+        self._messages = collections.deque()
         self._ready = asyncio.Event()
 
     def put(self, message):
-        """Queue a message; returns what had to be dropped, or None."""
-        self._rows.append(message)
+        """Queue a message; returns the message that was dropped, or None."""
+        self._messages.append(message)
         self._ready.set()
-        if len(self._rows) <= self._limit:
+        if len(self._messages) <= self._limit:
             return None
-        for index, row in enumerate(self._rows):
+        for index, row in enumerate(self._messages):
             if not row.VITAL:
-                del self._rows[index]
+                del self._messages[index]
                 return row
-        # Only vital messages wait: the peer is too slow to be worked
-        # with.  The link ends, and those who wait ask another box.
+        # Only vital messages are queued: the peer is too slow to work with.
+        # The link closes, and senders that wait ask another box.
         self.stop()
         return message
 
     async def take(self):
-        """Wait for messages; an empty list means that the link is idle."""
+        """Wait for a batch; empty if the link is idle or stopped."""
         try:
             async with asyncio.timeout(IDLE_S):
                 await self._ready.wait()
@@ -233,13 +237,13 @@
             return []
         if self.stopped:
             return []
-        count = min(BATCH, len(self._rows))
-        batch = [self._rows.popleft() for _ in range(count)]
-        if not self._rows:
+        count = min(MAX_BATCH_MESSAGES, len(self._messages))
+        batch = [self._messages.popleft() for _ in range(count)]
+        if not self._messages:
             self._ready.clear()
         return batch
 
     def stop(self):
-        """End the link."""
+        """Stop the link after the batch being sent."""
         self.stopped = True
         self._ready.set()
--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -1,4 +1,4 @@
-"""Links between boxes: the handshake, checks on arrival, full queues."""
+"""Tests the links between boxes: handshake, invalid messages, full queues."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class Side:
-    """One box's links with what they delivered."""
+    """The links of one box and the messages that they delivered."""
 
     def __init__(self, name, secret=SECRET):
         self.taken = asyncio.Queue()
@@ -34,16 +34,16 @@
         )
 
     async def start(self):
-        """Listen; returns the address."""
+        """Start listening; returns the address."""
         return http.Address(*await self.links.start('127.0.0.1', 0))
 
     def count(self, name):
-        """Count the events of one name."""
+        """Return the number of events of one name."""
         return self.recorder.counts[name]
 
 
 async def wait_for(check):
-    """Wait for a condition."""
+    """Wait until a condition holds, at most 10 s."""
     async with asyncio.timeout(10.0):
         while not check():
             await asyncio.sleep(0.01)
@@ -107,7 +107,7 @@
         uri = f'ws://{address.host}:{address.port}'
         async with ws_client.connect(uri, compression=None) as socket:
             nonce = cbor2.loads(await socket.recv())
-            proof = handshake.prove(SECRET, nonce, 'box')
+            proof = handshake.compute_proof(SECRET, nonce, 'box')
             hello = [handshake.VERSION, 'box', 'd', 'i', b'x' * 16, proof]
             await socket.send(cbor2.dumps(hello))
             await socket.recv()
