--- a/landingspool/platform/__init__.py
+++ b/landingspool/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: names, formats and calls only."""
+"""Adapter to the platform of the users: names, formats and calls only."""
--- a/landingspool/platform/__main__.py
+++ b/landingspool/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one box on the platform: `python3 -m landingspool.platform`."""
+"""Runs one box on the platform: `python3 -m landingspool.platform`."""
 
 import asyncio
 import gc
@@ -26,7 +26,7 @@
 
 
 def reload(hub):
-    """Read the settings anew and log what a restart would change."""
+    """Read the settings again and log what a restart would change."""
     place, errors = boot.load(boot.find_path())
     for error in errors:
         hub.recorder.record(
@@ -53,7 +53,8 @@
     if errors:
         return BAD_SETTINGS
     lines.configure(place.box)
-    # What was imported stays for good and need not be looked at again.
+    # Imported objects live as long as the process; the garbage collector
+    # need not scan them.
     gc.freeze()
     uptime.run(serve(place))
     return 0
--- a/landingspool/platform/answers.py
+++ b/landingspool/platform/answers.py
@@ -1,32 +1,40 @@
-"""Reads the head of a target's answer, and what of it goes back.
+"""Decodes the head of a target's answer and selects what is relayed.
 
-It tells what the target claims: whose answer it is, whether it is signed,
-whether the request has run.  What follows from that is decided elsewhere.
+The head states which target answered, whether it signed the answer and
+whether the request was executed.  The gateway decides what follows from it.
 """
 
 import typing
 
 from landingspool.platform import names
-from landingspool.platform import notices as words_module
+from landingspool.platform import notices as notices_module
 
-# The status of a target that now has another one's address (RFC 9110,
-# 15.5.20): it ran nothing.
+# Misdirected Request (RFC 9110, 15.5.20): another target has taken over the
+# address of the one addressed.  The request was not executed.
 MISDIRECTED = 421
 
 
 class Head(typing.NamedTuple):
-    """The head of a target's answer, decoded.
+    """Decoded head of a target's answer.
 
     Attributes
     ----------
     stamped : bool
         Whether the target signed it.
     not_run : bool
-        Whether it says that the request has not run and won't.
+        Whether it says that the request was not executed and never will be.
+    coded : bool
+        Whether the body has a content encoding.
+    closing : bool
+        Whether the target closes the connection after this answer.
     kept_s : float or None
-        Whole seconds for which the target keeps the connection.
-    words : words.Notices
-        What the answer says of the target.
+        Whole seconds for which the target keeps the idle connection.
+    version : int or None
+        Version of the weights that made the answer.
+    target : str
+        Id of the target that answered; empty if not stated.
+    words : notices.Notices
+        What the answer announces about its target.
     """
 
     status: int
@@ -39,7 +47,7 @@
     kept_s: float | None
     version: int | None
     target: str
-    words: words_module.Notices = words_module.Notices()
+    words: notices_module.Notices = notices_module.Notices()
 
 
 def read_head(status, headers):
@@ -58,17 +66,17 @@
         not_run=names.NOT_RUN in found or status == MISDIRECTED,
         coded=found.get('content-encoding', 'identity') != 'identity',
         closing='close' in found.get('connection', '').lower(),
-        kept_s=read_kept(found.get('keep-alive', '')),
-        version=read_whole(found.get(names.VERSION)),
+        kept_s=read_keep_alive(found.get('keep-alive', '')),
+        version=read_integer(found.get(names.VERSION)),
         target=found.get(names.TARGET_ID, ''),
-        words=words_module.read_head_notices(status, headers),
+        words=notices_module.read_head_notices(status, headers),
     )
 
 
-def read_kept(text):
-    """Give the seconds in a Keep-Alive header, None where there are none.
+def read_keep_alive(text):
+    """Return the time-out of a Keep-Alive header in seconds, or None.
 
-    >>> read_kept('timeout=3, max=9'), read_kept('')
+    >>> read_keep_alive('timeout=3, max=9'), read_keep_alive('')
     (3.0, None)
     """
     for part in text.lower().split(','):
@@ -78,13 +86,13 @@
     return None
 
 
-def read_whole(text):
-    """Give a whole number, None where the text holds none."""
+def read_integer(text):
+    """Return the whole number in a text, or None."""
     return int(text) if text and text.strip().isdigit() else None
 
 
 def relay_headers(head):
-    """Give the headers of an answer that go back to the caller."""
+    """Return the headers of an answer that are relayed to the caller."""
     return [
         (name, value)
         for name, value in head.headers
@@ -93,7 +101,7 @@
 
 
 def find_event_version(event):
-    """Give the version that an event of a stream tells, or None.
+    """Return the version of the weights that a stream event names, or None.
 
     >>> find_event_version(b'versions: 3\\nid: 7\\ndata: x')
     3
@@ -102,4 +110,4 @@
     name, _, value = first.partition(b':')
     if name.strip().lower() != names.VERSION.encode():
         return None
-    return read_whole(value.decode('latin-1'))
+    return read_integer(value.decode('latin-1'))
--- a/landingspool/platform/boot.py
+++ b/landingspool/platform/boot.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into the product's own Deployment."""
+"""Reads the platform's settings file into a Deployment."""
 
 import os
 import tomllib
@@ -9,12 +9,12 @@
 from landingspool import settings
 
 MEGABYTE = 1024 * 1024
-# Descriptors that the platform sets apart for files.
+# File descriptors that the platform reserves for files.
 FILE_DESCRIPTORS = 200
 
 
 def find_path(environ=os.environ):
-    """Give the path of the settings file; empty where none is named."""
+    """Return the path of the settings file; empty if none is set."""
     return environ.get(names.SETTINGS_VARIABLE, '')
 
 
@@ -34,7 +34,12 @@
 
 
 def read(table, path):
-    """Check the decoded settings; all errors at once."""
+    """Check the decoded settings and report all errors at once.
+
+    Returns
+    -------
+    tuple of (deployment.Deployment or None, list of settings.Error)
+    """
     reader = Reader(table, path)
     bounds = deployment.Bounds(
         drain_s=reader.number('bounds.drain_ms', 2000) / 1000,
@@ -54,7 +59,7 @@
     if reader.find('listen.control') is not None:
         links = reader.address('listen.control')
     seeds = reader.find('seeds') or ()
-    place = deployment.Deployment(
+    loaded = deployment.Deployment(
         box=reader.text('node'),
         domain=reader.text('zone'),
         callers=reader.address('listen.front'),
@@ -70,11 +75,11 @@
         first_start=reader.flag('bootstrap', False),
         regions=reader.texts('zones'),
     )
-    return (None if reader.errors else place), reader.errors
+    return (None if reader.errors else loaded), reader.errors
 
 
 class Reader:
-    """Takes checked values out of nested tables and collects errors."""
+    """Reads checked values from nested tables and collects the errors."""
 
     def __init__(self, table, path):
         self._table = table
@@ -82,7 +87,7 @@
         self.errors = []
 
     def find(self, key):
-        """Give the value under a dotted key, or None."""
+        """Return the value under a dotted key, or None."""
         value = self._table
         for name in key.split('.'):
             if not isinstance(value, dict) or name not in value:
@@ -91,14 +96,14 @@
         return value
 
     def text(self, key):
-        """Give a text that must be there."""
+        """Return a required text."""
         value = self.find(key)
         if isinstance(value, str) and value:
             return value
-        return self._complain(key, value, 'expected a text', '')
+        return self._add_error(key, value, 'expected a text', '')
 
     def texts(self, key):
-        """Give a table of texts, empty where there is none."""
+        """Return an optional table of texts; empty if absent."""
         value = self.find(key)
         if value is None:
             return {}
@@ -106,48 +111,48 @@
             isinstance(text, str) for text in value.values()
         ):
             return value
-        return self._complain(key, value, 'expected a table of texts', {})
+        return self._add_error(key, value, 'expected a table of texts', {})
 
     def number(self, key, default):
-        """Give a number, `default` where there is none."""
+        """Return a number of 0 or more; `default` if absent."""
         value = self.find(key)
         if value is None:
             return default
         number = isinstance(value, int | float) and not isinstance(value, bool)
-        # Times, sizes and shares: none of them may be negative.
+        # Times, sizes and shares can't be negative.
         if number and value >= 0:
             return value
-        return self._complain(
-            key, value, 'expected a number, 0 at least', default
+        return self._add_error(
+            key, value, 'expected a number of 0 or more', default
         )
 
     def flag(self, key, default):
-        """Give a truth value, `default` where there is none."""
+        """Return a boolean; `default` if absent."""
         value = self.find(key)
         if value is None:
             return default
         if isinstance(value, bool):
             return value
-        return self._complain(key, value, 'expected true or false', default)
+        return self._add_error(key, value, 'expected true or false', default)
 
     def address(self, key):
-        """Give an address that must be there."""
+        """Return a required address."""
         return self.parse(key, self.find(key))
 
     def parse(self, key, value):
-        """Give the address in a text IP:PORT."""
+        """Return the address in a text IP:PORT; record an error otherwise."""
         address = parse_address(value)
         if address is None:
-            self._complain(key, value, 'expected IP:PORT', None)
+            self._add_error(key, value, 'expected IP:PORT', None)
         return address
 
-    def _complain(self, key, value, text, default):
+    def _add_error(self, key, value, text, default):
         self.errors.append(settings.Error(self._path, key, value, text))
         return default
 
 
 def parse_address(text):
-    """Give the Address in a text IP:PORT, or None.
+    """Return the Address in a text IP:PORT, or None.
 
     >>> parse_address('10.0.0.1:80')
     Address(host='10.0.0.1', port=80)
--- a/landingspool/platform/catalogue.py
+++ b/landingspool/platform/catalogue.py
@@ -1,4 +1,4 @@
-"""Decodes what operators and targets keep in the platform's store."""
+"""Decodes the records of operators and targets in the platform's store."""
 
 import ipaddress
 import json
@@ -14,18 +14,18 @@
 from landingspool.platform import boot
 from landingspool.platform import names
 
-# The wire's word for a stream of events; the others are the product's own.
-KINDS = {'streaming': routes.STREAM}
+# Kinds of routes whose name on the wire differs from the internal one.
+ROUTE_KINDS = {'streaming': routes.STREAM}
 DEFAULT_TIMEOUT_MS = 30_000
-# Bounds of what a target may say of itself; what is beyond was written by
-# somebody else.  Places at once and version numbers of this size are far over
-# what any deployment has; times end with the year 2100.
-MOST_NUMBER = 1_000_000
-MOST_COLD_MS = 3_600_000
-MOST_BORN_MS = 4_102_444_800_000
-MOST_TEXT = 256
-# What reading a record that is nothing of the kind may raise.
-UNREADABLE = (
+# Bounds for the record of a target; a record beyond them was not written by a
+# target.  Slots and version numbers of this size are far above those of any
+# deployment; times end with the year 2100.
+MAX_NUMBER = 1_000_000
+MAX_COLD_MS = 3_600_000
+MAX_BORN_MS = 4_102_444_800_000
+MAX_TEXT_CHARS = 256
+# Exceptions that decoding an arbitrary record may raise.
+DECODE_ERRORS = (
     ValueError,
     KeyError,
     TypeError,
@@ -34,16 +34,18 @@
     RecursionError,
 )
 
-Number = typing.Annotated[int, msgspec.Meta(ge=0, le=MOST_NUMBER)]
-Text = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_TEXT)]
+Number = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
+Text = typing.Annotated[
+    str, msgspec.Meta(min_length=1, max_length=MAX_TEXT_CHARS)
+]
 
 
 class Malformed(Exception):
-    """A record that can't be read; the text names key and field."""
+    """A record can't be decoded; the text names key and field."""
 
 
 def read_table(value):
-    """Decode a published configuration.
+    """Decode a published configuration table.
 
     Returns
     -------
@@ -70,7 +72,7 @@
             limits=read_limits(table.get('limits') or {}),
             keyed='tenants' in table,
         )
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise Malformed(f'{names.TABLE_KEY}: {error!r}') from error
 
 
@@ -87,7 +89,7 @@
         name=row['name'],
         host=row['host'].lower(),
         prefix=row['path_prefix'],
-        kind=KINDS.get(row['kind'], row['kind']),
+        kind=ROUTE_KINDS.get(row['kind'], row['kind']),
         timeout_s=timeout_ms / 1000,
         target_latency_s=row.get('target_latency_ms', timeout_ms) / 1000,
         priority=int(row.get('priority', 5)),
@@ -107,7 +109,7 @@
         health_path=row.get('health_path', ''),
         max_connections=int(row.get('max_connections', 64)),
         engine=read_engine(row.get('engine')),
-        keeper=read_keeper(row),
+        keeper=read_context_store(row),
         cold=coldness.Bound(
             float(row.get('cold_start_s') or 0),
             float(row.get('cold_per_s') or 0),
@@ -116,7 +118,7 @@
 
 
 def read_engine(row):
-    """Decode what the engines of a service can do; None for plain ones."""
+    """Decode the engine properties of a service; None for plain services."""
     if not row:
         return None
     return routes.Engine(
@@ -129,8 +131,8 @@
     )
 
 
-def read_keeper(row):
-    """Decode a store of kept context; None for other services."""
+def read_context_store(row):
+    """Decode a store of cached context; None for other services."""
     if not row.get('kv_store_addr'):
         return None
     return routes.Keeper(
@@ -156,48 +158,54 @@
 
 
 def read_limits(row):
-    """Decode what callers may send."""
-    usual = routes.Limits()
+    """Decode the limits on requests of callers."""
+    defaults = routes.Limits()
     return routes.Limits(
-        header_bytes=int(row.get('max_header_bytes', usual.header_bytes)),
-        body_bytes=int(row.get('max_body_bytes', usual.body_bytes)),
-        header_s=row.get('header_timeout_ms', usual.header_s * 1000) / 1000,
-        idle_s=row.get('idle_timeout_ms', usual.idle_s * 1000) / 1000,
+        header_bytes=int(row.get('max_header_bytes', defaults.header_bytes)),
+        body_bytes=int(row.get('max_body_bytes', defaults.body_bytes)),
+        header_s=row.get('header_timeout_ms', defaults.header_s * 1000) / 1000,
+        idle_s=row.get('idle_timeout_ms', defaults.idle_s * 1000) / 1000,
     )
 
 
 def read_version(value):
-    """Decode a named version of weights; returns (model, version)."""
+    """Decode a published version of weights as (model, version)."""
     try:
         row = json.loads(value)
         return row['model'], int(row['version'])
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise Malformed(f'{names.VERSION_KEY}: {error!r}') from error
 
 
 class ModelRecord(msgspec.Struct):
-    """What a target says of one model."""
+    """A model in the record of a target, with the version of its weights."""
 
     name: Text
     version: Number = 0
 
 
 class TargetRecord(msgspec.Struct):
-    """What a target writes of itself; another writer's may be anything.
+    """Record that a target writes about itself, with its bounds.
 
-    `born` stands for the start of the life that writes: Unix milliseconds.
+    The bounds reject records of other writers, which may hold anything.
+
+    Attributes
+    ----------
+    born : int
+        Start of the incarnation that writes, in Unix milliseconds; 0 if the
+        target does not state it.
     """
 
     service: Text
     address: Text
     zone: Text
     state: typing.Literal['ready', 'draining']
-    slots: typing.Annotated[int, msgspec.Meta(ge=1, le=MOST_NUMBER)]
+    slots: typing.Annotated[int, msgspec.Meta(ge=1, le=MAX_NUMBER)]
     cold_remaining_ms: typing.Annotated[
-        float, msgspec.Meta(ge=0, le=MOST_COLD_MS)
+        float, msgspec.Meta(ge=0, le=MAX_COLD_MS)
     ] = 0.0
     sequence: typing.Annotated[int, msgspec.Meta(ge=0)] = 0
-    born: typing.Annotated[int, msgspec.Meta(ge=0, le=MOST_BORN_MS)] = 0
+    born: typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_BORN_MS)] = 0
     models: list[ModelRecord] = []
 
 
@@ -205,12 +213,12 @@
 
 
 def read_entry(target, value):
-    """Decode what a target says of itself.
+    """Decode the record of a target.
 
     Parameters
     ----------
     target : str
-        Its id, under which the record lies.
+        Id of the target, which is the key of the record.
     value : bytes
 
     Returns
@@ -220,12 +228,12 @@
     Raises
     ------
     Malformed
-        For whatever else the bytes are.
+        If the bytes are not a valid record.
     """
     try:
         row = TARGET_DECODER.decode(value)
         return fleet.Entry(
-            name=fleet.Life(check_id(target), row.born).name,
+            name=fleet.Life(check_target_id(target), row.born).name,
             service=row.service,
             address=read_address(row.address),
             domain=row.zone,
@@ -234,24 +242,26 @@
             versions={model.name: model.version for model in row.models},
             cold_s=row.cold_remaining_ms / 1000,
         )
-    except UNREADABLE as error:
-        raise Malformed(f'target {target[:MOST_TEXT]}: {error!r}') from error
+    except DECODE_ERRORS as error:
+        raise Malformed(
+            f'target {target[:MAX_TEXT_CHARS]}: {error!r}'
+        ) from error
 
 
-def check_id(target):
-    """Give an id back that may stand in the name of a life.
+def check_target_id(target):
+    """Return an id if it can be part of the name of an incarnation.
 
     Raises
     ------
     ValueError
     """
     if not target or fleet.LIFE_SIGN in target or not target.isascii():
-        raise ValueError('no id of a target')
+        raise ValueError('not a valid id of a target')
     return target
 
 
 def read_address(text):
-    """Decode the address of a target: a number, never a name to look up.
+    """Decode the address of a target: an IP number, no host name.
 
     >>> read_address('10.0.0.1:80')
     Address(host='10.0.0.1', port=80)
@@ -262,7 +272,7 @@
     """
     address = boot.parse_address(text)
     if address is None or not 0 < address.port < 65536:
-        raise ValueError(f'no address: {text!r}')
+        raise ValueError(f'not an address: {text!r}')
     ipaddress.IPv4Address(address.host)
     return address
 
@@ -275,24 +285,26 @@
     }
 
 
-def write_endings(words, wall):
-    """Encode the targets that ended under a request.
+def write_endings(notices, wall_s):
+    """Encode the crashes of targets under one request.
 
     Parameters
     ----------
-    words : list of neighbours.CrashNotice
-    wall : float
-        Time of day, by which those who read it tell their age.
+    notices : list of neighbours.CrashNotice
+    wall_s : float
+        Unix time in seconds, from which readers compute the ages.
     """
-    rows = [[word.life, int(wall * 1000) - word.age_ms] for word in words]
+    rows = [
+        [notice.life, int(wall_s * 1000) - notice.age_ms] for notice in notices
+    ]
     return json.dumps(rows).encode()
 
 
-def read_endings(key, value, wall):
-    """Decode the targets that ended under a request, as CrashNotice.
+def read_endings(key, value, wall_s):
+    """Decode the crashes of targets under one request as CrashNotice.
 
-    >>> word = neighbours.CrashNotice(b'f', 7, 500)
-    >>> read_endings('66', write_endings([word], 10.0), 12.0)
+    >>> notice = neighbours.CrashNotice(b'f', 7, 500)
+    >>> read_endings('66', write_endings([notice], 10.0), 12.0)
     [CrashNotice(fingerprint=b'f', life=7, age_ms=2500)]
 
     Raises
@@ -303,23 +315,23 @@
         fingerprint = bytes.fromhex(key)
         return [
             neighbours.CrashNotice(
-                fingerprint, int(life), max(int(wall * 1000) - int(at), 0)
+                fingerprint, int(life), max(int(wall_s * 1000) - int(at), 0)
             )
             for life, at in json.loads(value)
         ]
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise Malformed(f'endings: {error!r}') from error
 
 
 def write_claim(holder, loading):
-    """Encode a claim to give orders."""
+    """Encode a claim to the right to send orders."""
     return json.dumps({'holder': holder, 'loading': loading}).encode()
 
 
 def read_claim(value, offset):
-    """Decode a claim; its offset is the fence of its orders."""
+    """Decode a claim; its offset in the log is the fence of its orders."""
     try:
         row = json.loads(value)
         return rollouts.Claim(row['holder'], offset, dict(row['loading']))
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise Malformed(f'claim: {error!r}') from error
--- a/landingspool/platform/egress.py
+++ b/landingspool/platform/egress.py
@@ -1,35 +1,42 @@
-"""Writes the head of a request that goes on to a target.
+"""Writes the head of a request that is relayed to a target.
 
-What the system says itself never mixes with what the caller sent: a
-caller's own values of such headers would steer memory, rank or identity.
+Headers that the system sets are never taken from the caller: the caller's
+values would control memory, priority or identity.
 """
 
 import typing
 
 from landingspool.platform import names
 
-# Milliseconds taken off the time handed on: the answer has to travel back.
-TRAVEL_MS = 5
-# A target's rank for urgency goes from 0 to 9.
+# Milliseconds taken off the time left, since the answer has to travel back.
+RETURN_MARGIN_MS = 5
+# Priorities at a target go from 0, the most urgent, to 9.
 LEAST_URGENT = 9
 
 
 class Instructions(typing.NamedTuple):
-    """What the system tells the target that gets a request.
+    """Instructions of the system to the target that receives a request.
 
     Attributes
     ----------
     target : str
-        Id of the target that may run it.
+        Id of the target that may execute the request.
+    left_s : float
+        Seconds that are left for the request.
+    workspace : str
+        Empty if the request has none.
+    priority : int or None
     version : int or None
-        Version of the weights that it must have.
+        Version of the weights that the target must have.
     space : str
-        Namespace of kept context; empty for plain services.
+        Namespace of the cached context; empty for plain services.
     fetch, save : tuple of str
-        For each part of the prompt a store's address, or an empty text.
+        Address of a store for each part of the prompt, or an empty text.
     until_ms : float or None
-        When a transfer that has not ended is thrown away.
+        Time on the targets' clock at which an unfinished transfer is
+        discarded.
     after_event : str
+        Id of the last event that the caller has; empty if none.
     """
 
     target: str
@@ -45,7 +52,7 @@
 
 
 def write_head(call, instructions, body_length):
-    """Give the headers that a target gets for a call.
+    """Return the headers that a target receives for a call.
 
     Returns
     -------
@@ -64,63 +71,66 @@
 
 
 def is_dropped(name, instructions):
-    """Tell whether a caller's header is not passed on."""
+    """Return whether a header of the caller is not relayed."""
     if name in names.HOP_HEADERS or name in names.OWN_HEADERS:
         return True
     return name == names.LAST_EVENT and bool(instructions.after_event)
 
 
 def has_body(call):
-    """Tell whether the call has a body, even an empty one."""
+    """Return whether the call has a body, even an empty one."""
     present = {name for name, _ in call.headers}
     return b'content-length' in present or b'transfer-encoding' in present
 
 
 def list_connection_names(headers):
-    """List the headers that the caller's `Connection` names."""
+    """List the droppable headers that the caller's `Connection` names."""
     named = set()
     for name, value in headers:
         if name == b'connection':
             parts = value.decode('latin-1').lower().split(',')
             named.update(part.strip() for part in parts)
-    # An id or key can't be dropped by naming it.
+    # Naming them in `Connection` must not drop these headers.
     return named - {names.REQUEST_ID, 'host', names.MODEL, names.PARTS}
 
 
-def write_instructions(call, told):
-    """Give the headers that the system sets itself."""
-    left_ms = max(int(told.left_s * 1000) - TRAVEL_MS, 1)
-    rows = [(names.TIME_LEFT, str(left_ms)), (names.ONLY_TARGET, told.target)]
-    if told.workspace:
-        rows.append((names.WORKSPACE, told.workspace))
-    if told.after_event:
-        rows.append((names.LAST_EVENT, told.after_event))
+def write_instructions(call, instructions):
+    """Return the headers that the system sets."""
+    left_ms = max(int(instructions.left_s * 1000) - RETURN_MARGIN_MS, 1)
+    rows = [
+        (names.TIME_LEFT, str(left_ms)),
+        (names.ONLY_TARGET, instructions.target),
+    ]
+    if instructions.workspace:
+        rows.append((names.WORKSPACE, instructions.workspace))
+    if instructions.after_event:
+        rows.append((names.LAST_EVENT, instructions.after_event))
     if call.prompt is not None:
-        rows += write_engine_rows(told)
+        rows += write_engine_rows(instructions)
     return [(name.encode(), value.encode('latin-1')) for name, value in rows]
 
 
-def write_engine_rows(told):
-    """Give the headers for model engines."""
+def write_engine_rows(instructions):
+    """Return the headers for model engines."""
     rows = []
-    if told.priority is not None:
-        urgency = min(max(told.priority, 0), LEAST_URGENT)
+    if instructions.priority is not None:
+        urgency = min(max(instructions.priority, 0), LEAST_URGENT)
         rows.append((names.URGENCY, str(urgency)))
-    if told.version is not None:
-        rows.append((names.ONLY_VERSION, str(told.version)))
-    if told.space:
-        rows.append((names.SPACE, told.space))
-    if any(told.fetch):
-        rows.append((names.FETCH_FROM, write_addresses(told.fetch)))
-        if told.until_ms is not None:
-            rows.append((names.FETCH_UNTIL, str(int(told.until_ms))))
-    if any(told.save):
-        rows.append((names.SAVE_TO, write_addresses(told.save)))
+    if instructions.version is not None:
+        rows.append((names.ONLY_VERSION, str(instructions.version)))
+    if instructions.space:
+        rows.append((names.SPACE, instructions.space))
+    if any(instructions.fetch):
+        rows.append((names.FETCH_FROM, write_addresses(instructions.fetch)))
+        if instructions.until_ms is not None:
+            rows.append((names.FETCH_UNTIL, str(int(instructions.until_ms))))
+    if any(instructions.save):
+        rows.append((names.SAVE_TO, write_addresses(instructions.save)))
     return rows
 
 
 def write_addresses(addresses):
-    """Join one address for each part of the prompt.
+    """Join the addresses, one for each part of the prompt.
 
     >>> write_addresses(('a:1', '', 'b:2'))
     'a:1,-,b:2'
--- a/landingspool/platform/ingress.py
+++ b/landingspool/platform/ingress.py
@@ -1,7 +1,8 @@
-"""Reads the head of a caller's request.
+"""Decodes the head of a caller's request.
 
-Only what decides about the request is decoded; all else goes on as sent,
-and a head that tells its prompt badly is the target's to judge.
+Only the fields that decide about the request are decoded; the others are
+relayed as sent.  A malformed description of the prompt is left for the target
+to reject.
 """
 
 import typing
@@ -10,26 +11,26 @@
 from landingspool.platform import names
 
 BEARER = 'bearer '
-# Seconds that a caller is taken to wait where its head does not say.
-DEFAULT_LEFT_S = 30.0
+# Seconds that a caller is assumed to wait if its head states no time.
+DEFAULT_TIME_LEFT_S = 30.0
 
 
 class Call(typing.NamedTuple):
-    """The head of a caller's request, decoded.
+    """Decoded head of a caller's request.
 
     Attributes
     ----------
     name : str
-        The caller's id of this try.
+        The caller's id of this attempt.
     target : str
         Path and query as sent.
     headers : list of tuple of bytes
         As sent.
     left_s : float
-        Seconds that the caller will wait, from when it sent the head.
+        Seconds that the caller waits, counted from when it sent the head.
     prompt : prompts.Prompt or None
     after_event : str
-        Id of the last event that the caller has; empty where none.
+        Id of the last event that the caller has; empty if none.
     """
 
     name: str
@@ -44,7 +45,7 @@
 
 
 def read_call(method, target, headers):
-    """Decode a head.
+    """Decode the head of a request.
 
     Parameters
     ----------
@@ -67,26 +68,26 @@
         host=found.get('host', ''),
         headers=headers,
         key=key,
-        left_s=read_left(found.get(names.TIME_LEFT)),
+        left_s=read_time_left(found.get(names.TIME_LEFT)),
         prompt=read_prompt(found),
         after_event=found.get(names.LAST_EVENT, ''),
     )
 
 
-def read_left(text):
-    """Give the seconds in a header of milliseconds.
+def read_time_left(text):
+    """Return the seconds in a header of milliseconds, or the default.
 
-    >>> read_left('1500'), read_left(None), read_left('x')
+    >>> read_time_left('1500'), read_time_left(None), read_time_left('x')
     (1.5, 30.0, 30.0)
     """
     try:
         return max(float(text) / 1000, 0.0)
     except (TypeError, ValueError):
-        return DEFAULT_LEFT_S
+        return DEFAULT_TIME_LEFT_S
 
 
 def read_prompt(found):
-    """Decode what a head tells of its prompt; None where it tells none."""
+    """Decode the description of the prompt; None if there is none."""
     model = found.get(names.MODEL)
     if not model:
         return None
@@ -99,7 +100,7 @@
         )
         return prompts.Prompt(model, int(tokens_in), int(tokens_out), parts)
     except (KeyError, ValueError):
-        # A head that tells its size badly is still the target's to judge.
+        # A malformed size is left for the target to reject.
         return prompts.Prompt(model, 0, 0)
 
 
--- a/landingspool/platform/limits.py
+++ b/landingspool/platform/limits.py
@@ -1,41 +1,41 @@
-"""Reads the field in which a target names how many requests it takes.
+"""Decodes the header in which a target advertises a limit of requests.
 
-The field is a decimal number of requests a second, from all boxes together.
-Anything else in it names nothing: read as a number by chance it could stop a
-target, or free it.
+The value is a decimal number of requests a second, from all boxes together.
+Any other value is ignored: misread as a number, it could block a target or
+lift its limit.
 """
 
 import re
 import typing
 
 DECIMAL = re.compile(r'(?:\d+\.?\d*|\.\d+)', re.ASCII)
-# Characters of a field that can't be read that are logged.
-MOST_LOGGED = 40
+# Characters of an unreadable header that are logged.
+MAX_LOGGED_CHARS = 40
 
 
 class Named(typing.NamedTuple):
-    """The answer names a limit, in requests a second."""
+    """The answer advertises a limit, in requests a second."""
 
     per_s: float
 
 
 class Unnamed(typing.NamedTuple):
-    """The answer has no such field."""
+    """The answer does not have the header."""
 
 
 class Unreadable(typing.NamedTuple):
-    """The answer has the field, and no limit can be read in it."""
+    """The answer has the header, but with no valid value."""
 
     text: str
 
 
 def read_limit(texts):
-    """Read the field's lines; the smallest figure holds where there are more.
+    """Decode the values of the header; the smallest number applies.
 
     Parameters
     ----------
     texts : sequence of str
-        Its values, one for each line of the head.
+        One value for each line of the head.
 
     Returns
     -------
@@ -52,27 +52,27 @@
     """
     if not texts:
         return Unnamed()
-    figures = [read_figure(part) for part in split_parts(texts)]
-    if None in figures:
-        return Unreadable(quote(texts))
-    return Named(min(figures))
+    numbers = [read_number(part) for part in split_parts(texts)]
+    if None in numbers:
+        return Unreadable(quote_lines(texts))
+    return Named(min(numbers))
 
 
-def read_figure(text):
-    """Give the number in a text; None where it is not over 0, or endless.
+def read_number(text):
+    """Return the number in a text; None unless positive and finite.
 
-    >>> read_figure(' .5 '), read_figure('1_0'), read_figure('0.000')
+    >>> read_number(' .5 '), read_number('1_0'), read_number('0.000')
     (0.5, None, None)
     """
     text = text.strip(' \t')
     if not DECIMAL.fullmatch(text):
         return None
-    figure = float(text)
-    return figure if 0 < figure < float('inf') else None
+    number = float(text)
+    return number if 0 < number < float('inf') else None
 
 
 def split_parts(texts):
-    """Split the lines of a field at its commas.
+    """Split the lines of a header at their commas.
 
     >>> split_parts(['1, 2', ' 3'])
     ['1', '2', '3']
@@ -80,17 +80,17 @@
     return [part.strip(' \t') for text in texts for part in text.split(',')]
 
 
-def quote(texts):
-    """Give the lines of a field for the log.
+def quote_lines(texts):
+    """Return the lines of a header as one text for the log.
 
-    >>> quote(['a', 'b'])
+    >>> quote_lines(['a', 'b'])
     "'a, b'"
     """
-    return repr(', '.join(texts)[:MOST_LOGGED])
+    return repr(', '.join(texts)[:MAX_LOGGED_CHARS])
 
 
-def list_lines(headers, name):
-    """List the lines of a field in a head.
+def list_field_lines(headers, name):
+    """List the values of a header, one for each of its lines.
 
     Parameters
     ----------
--- a/landingspool/platform/names.py
+++ b/landingspool/platform/names.py
@@ -1,45 +1,45 @@
-"""The platform's names: headers, paths, topics, keys.  Nothing else."""
+"""Defines the names of the platform: headers, paths, topics and keys."""
 
 REQUEST_ID = 'x-landingspool-request-id'
-# Milliseconds that are left, counted from when the head was sent.
+# Milliseconds left for the request, counted from when the head was sent.
 TIME_LEFT = 'x-landingspool-deadline-ms'
 MODEL = 'x-landingspool-model-name'
-# Prompt tokens and the most that may be generated, separated by a comma.
+# Number of prompt tokens and maximum of generated ones, comma-separated.
 TOKENS = 'x-landingspool-token-usage'
 # The prompt's parts in order, each NAME:TOKENS.
 PARTS = 'x-landingspool-prefix-hash'
-# A target's proof that it made the answer; it has to go back unchanged.
+# Signature of the target that made the answer; relayed unchanged.
 STAMP = 'x-landingspool-response-stamp'
 NOT_RUN = 'x-landingspool-not-executed'
-# The id of the target that may run the request; any other one refuses.
+# Id of the target that may execute the request; any other target refuses.
 ONLY_TARGET = 'x-landingspool-expect-instance'
 TARGET_ID = 'x-landingspool-instance-id'
 WORKSPACE = 'x-landingspool-tenant-id'
-# The version of the weights that the target must have.
+# Version of the weights that the target must have.
 ONLY_VERSION = 'expect-version'
-# Carried by answers: the version of the weights that made them.
+# In answers: version of the weights that made them.
 VERSION = 'versions'
-# Carried by answers of a target in need: the requests a second that it takes
-# from all boxes together.
+# In answers of a target in need: requests a second that it accepts from all
+# boxes together.
 LIMIT = 'server-limit'
-# Carried by answers of a target that leaves.
+# In answers of a target that leaves.
 LEAVING = 'server-leaving'
-# Carried by a target's refusal: the seconds for which it wants no request of
-# the box that it refused.
-REST = 'retry-after'
+# In a target's refusal: seconds for which the refused box must not send it any
+# request.
+RETRY_AFTER = 'retry-after'
 URGENCY = 'priority'
 LAST_EVENT = 'last-event-id'
 AUTHORIZATION = 'authorization'
-# Namespace of kept context; parts are found only under the same one.
+# Namespace of the cached context; parts are found only in the same namespace.
 SPACE = 'cache-salt'
 FETCH_FROM = 'kv-fetch'
 SAVE_TO = 'kv-save'
-# On the targets' clock, milliseconds: a later transfer is thrown away.
+# Milliseconds on the targets' clock; a later transfer is discarded.
 FETCH_UNTIL = 'kv-until'
 WAIT = 'wait-ms'
 
-# What the system may set for a target.  A caller's own values of these are
-# dropped: they would steer memory, rank or identity.
+# Headers that only the system may set for a target.  A caller's values of them
+# are dropped: they would control memory, priority or identity.
 OWN_HEADERS = frozenset(
     (
         WORKSPACE,
@@ -61,7 +61,8 @@
         'kv-from',
     )
 )
-# Of one connection only (RFC 9110, 7.6.1), and what this side frames anew.
+# Hop-by-hop headers (RFC 9110, 7.6.1), and those of the framing, which are set
+# anew for each connection.
 HOP_HEADERS = frozenset(
     (
         'connection',
@@ -93,7 +94,7 @@
 TARGETS_TOPIC = 'keyed.servers'
 BOXES_TOPIC = 'keyed.boxes'
 CLAIMS_TOPIC = 'keyed.claims'
-# Before the fingerprint in record keys of CLAIMS_TOPIC: no box has the name.
+# Prefix of fingerprints in record keys of CLAIMS_TOPIC; no box name has it.
 ENDINGS_KEY = 'ended/'
 # Record keys in PUBLISHED_TOPIC.
 TABLE_KEY = 'config'
--- a/landingspool/platform/notices.py
+++ b/landingspool/platform/notices.py
@@ -1,8 +1,8 @@
-"""Reads what an answer says of the target that made it.
+"""Decodes the notices in a target's answer: leaving, back-off and limit.
 
-Three words: that it leaves, that it wants no request for a time, and how many
-requests it takes.  Each has a field of its own, and what can't be read in one
-says nothing, since read as something by chance it could stop a target.
+A target announces that it leaves, that it wants no request for a time, or how
+many requests a second it accepts.  Each notice has its own header.  An
+unreadable header is ignored: misread, it could block the target.
 """
 
 import typing
@@ -10,26 +10,26 @@
 from landingspool.platform import limits
 from landingspool.platform import names
 
-LEAVES = '1'
-# The status whose answer may ask for rest (RFC 9110, 15.6.4).
+LEAVING_VALUE = '1'
+# The status whose answer may ask for a back-off (RFC 9110, 15.6.4).
 UNAVAILABLE = 503
-# Seconds of rest beyond which a figure counts as this many: a figure of any
-# size has to end.
+# Maximum seconds of a back-off; longer ones are cut to it, so that a number of
+# any size expires.
 MOST_REST_S = 3600.0
 
 
 class Leaving(typing.NamedTuple):
-    """The target leaves."""
+    """The target leaves and wants no new requests."""
 
 
 class Rest(typing.NamedTuple):
-    """The target wants no request of this box for so many seconds."""
+    """The target wants no request of this box for a number of seconds."""
 
     seconds: float
 
 
 class Notices(typing.NamedTuple):
-    """What one answer says of its target.
+    """Notices about a target in one of its answers.
 
     Attributes
     ----------
@@ -44,34 +44,37 @@
 
     @property
     def asks_rest(self):
-        """Whether it asks for rest."""
+        """Whether the target asks for a back-off."""
         return isinstance(self.rest, Rest)
 
     @property
     def is_wish(self):
-        """Whether it asks for less, so that a refusal is no failure."""
-        wishes = limits.Named, Rest, Leaving
-        return any(isinstance(word, wishes) for word in self)
+        """Whether the target asks for fewer requests.
+
+        A refusal then does not count as a failure of the target.
+        """
+        demands = limits.Named, Rest, Leaving
+        return any(isinstance(notice, demands) for notice in self)
 
 
 def read_notices(status, find):
-    """Read the words of an answer.
+    """Decode the notices in an answer.
 
     Parameters
     ----------
     find : callable
-        ``find(name)`` gives the lines of a field, as a list of str.
+        ``find(name)`` returns the values of a header as a list of str.
 
     >>> rows = {'server-leaving': ['1'], 'retry-after': ['2.5']}
-    >>> words = read_notices(503, lambda name: rows.get(name, []))
-    >>> words.rest, words.leaving, words.is_wish
+    >>> notices = read_notices(503, lambda name: rows.get(name, []))
+    >>> notices.rest, notices.leaving, notices.is_wish
     (Rest(seconds=2.5), Leaving(), True)
     >>> read_notices(200, lambda name: rows.get(name, [])).rest
     Unnamed()
     """
     rest = limits.Unnamed()
     if status == UNAVAILABLE:
-        rest = read_rest(find(names.REST))
+        rest = read_backoff(find(names.RETRY_AFTER))
     return Notices(
         limit=limits.read_limit(find(names.LIMIT)),
         rest=rest,
@@ -80,18 +83,20 @@
 
 
 def read_head_notices(status, headers):
-    """Read the words in a head.
+    """Decode the notices in the head of an answer.
 
     Parameters
     ----------
     headers : list of tuple of bytes
         Names in lower case.
     """
-    return read_notices(status, lambda name: limits.list_lines(headers, name))
+    return read_notices(
+        status, lambda name: limits.list_field_lines(headers, name)
+    )
 
 
 def read_folded_notices(status, headers):
-    """Read the words in a head whose fields have one line each.
+    """Decode the notices in a head whose headers have one line each.
 
     Parameters
     ----------
@@ -105,7 +110,7 @@
 
 
 def read_leaving(texts):
-    """Read whether a target leaves.
+    """Decode whether a target leaves.
 
     >>> read_leaving([]), read_leaving([' 1']), read_leaving(['0', '1'])
     (Unnamed(), Leaving(), Leaving())
@@ -115,30 +120,30 @@
     if not texts:
         return limits.Unnamed()
     parts = limits.split_parts(texts)
-    if LEAVES in parts:
+    if LEAVING_VALUE in parts:
         return Leaving()
-    return limits.Unreadable(limits.quote(texts))
+    return limits.Unreadable(limits.quote_lines(texts))
 
 
-def read_rest(texts):
-    """Read for how long a target wants no request; the longest holds.
+def read_backoff(texts):
+    """Decode for how long a target wants no request; the longest applies.
 
-    >>> read_rest([]), read_rest(['3']), read_rest(['0.5', '2, soon'])
+    >>> read_backoff([]), read_backoff(['3']), read_backoff(['0.5', '2, soon'])
     (Unnamed(), Rest(seconds=3.0), Rest(seconds=2.0))
-    >>> [read_rest([text]) for text in ('', '0', 'nan', 'inf', '-1', '1e9')]
+    >>> [read_backoff([text]) for text in ('', '0', 'nan', 'inf', '-1', '1e9')]
     ... # doctest: +NORMALIZE_WHITESPACE
     [Unreadable(text="''"), Unreadable(text="'0'"), Unreadable(text="'nan'"),
     Unreadable(text="'inf'"), Unreadable(text="'-1'"),
     Unreadable(text="'1e9'")]
-    >>> read_rest(['9' * 300])
+    >>> read_backoff(['9' * 300])
     Rest(seconds=3600.0)
-    >>> read_rest(['Fri, 04 Dec 2026 10:00:00 GMT'])
+    >>> read_backoff(['Fri, 04 Dec 2026 10:00:00 GMT'])
     Unreadable(text="'Fri, 04 Dec 2026 10:00:00 GMT'")
     """
     if not texts:
         return limits.Unnamed()
-    figures = [limits.read_figure(part) for part in limits.split_parts(texts)]
-    readable = [figure for figure in figures if figure is not None]
+    numbers = [limits.read_number(part) for part in limits.split_parts(texts)]
+    readable = [number for number in numbers if number is not None]
     if not readable:
-        return limits.Unreadable(limits.quote(texts))
+        return limits.Unreadable(limits.quote_lines(texts))
     return Rest(min(max(readable), MOST_REST_S))
--- a/landingspool/platform/runners.py
+++ b/landingspool/platform/runners.py
@@ -1,4 +1,4 @@
-"""Calls to targets and stores of kept context beside the requests."""
+"""Control calls to targets and to stores of cached context."""
 
 import dataclasses
 import json
@@ -10,13 +10,18 @@
 from landingspool.platform import names
 from landingspool.platform import notices
 
-# Seconds for an answer; a report takes some ms, a held call its hold more.
+# Seconds for an answer.  A report takes a few milliseconds; a held call gets
+# its hold time in addition.
 ANSWER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """A target's own figures, some hundred ms old."""
+    """State that a target reports, some hundred milliseconds old.
+
+    `orders` is the number of orders that the target has taken, and `born` the
+    start of its incarnation in Unix milliseconds; 0 if not stated.
+    """
 
     versions: dict
     busy: bool
@@ -25,21 +30,23 @@
     running: int
     born: int = 0
 
-    def is_other_life(self, life):
-        """Tell whether it is not of this fleet.Life."""
-        return bool(self.born and life.born and self.born != life.born)
+    def is_other_life(self, incarnation):
+        """Return whether it is from another incarnation than a fleet.Life."""
+        return bool(
+            self.born and incarnation.born and self.born != incarnation.born
+        )
 
 
 @dataclasses.dataclass(frozen=True)
 class Taken:
-    """An order was accepted or had been carried out before."""
+    """An order was accepted; `done`: it had been carried out before."""
 
     done: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """An order was refused; `fenced`: a higher fence was seen there."""
+    """An order was refused; `fenced`: the target has seen a higher fence."""
 
     status: int
     fenced: bool
@@ -47,22 +54,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unanswered:
-    """No usable answer; `sent` tells if the call may have arrived."""
+    """No usable answer; `sent`: the call may have arrived."""
 
     reason: str
     sent: bool
 
 
 class Runners:
-    """Calls to any target.
+    """Client of the control interface of targets and stores.
 
     Parameters
     ----------
     client : httpclient.Client
     observer
-        Told of what answers say of their targets: anything with
-        ``begin_call(address)``, and ``take_beside(called, words)`` for what
-        that gave.
+        Receives the notices in the answers.  Has ``begin_call(address)``,
+        and ``take_beside(called, notices)``, which gets the result of the
+        former.
     """
 
     def __init__(self, client, observer):
@@ -70,7 +77,7 @@
         self._observer = observer
 
     async def report(self, address):
-        """Ask a target for its figures; a Report or Unanswered."""
+        """Fetch the state of a target; a Report or Unanswered."""
         reply = await self._call(address, 'GET', names.REPORT_PATH)
         if isinstance(reply, Unanswered):
             return reply
@@ -88,13 +95,14 @@
             return Unanswered(f'report: {error!r}', True)
 
     async def order(self, address, order, taken, holder, fence):
-        """Order a target to load a version; its runs go on across that.
+        """Order a target to load a version; running requests continue.
 
         Parameters
         ----------
         order : rollouts.Order
         taken : int
-            Orders that the target has taken; it refuses after another.
+            Number of orders that the target has taken so far; it refuses this
+            one if it has taken another since.
 
         Returns
         -------
@@ -104,7 +112,7 @@
             'op': 'version',
             'model': order.model,
             'version': order.version,
-            # Runs keep their own memory and go on under the new weights.
+            # Running requests keep their memory and use the new weights.
             'manner': 'retain',
             'holder': holder,
             'fence': fence,
@@ -131,22 +139,23 @@
         reply = await self._call(
             address, 'GET', path, b'', headers, hold_s + ANSWER_S
         )
-        return read_news(reply, read_event, 'events')
+        return read_cache_update(reply, read_event, 'events')
 
     async def read_list(self, address):
-        """Read all that is kept; a warmth.News or Unanswered."""
+        """Read the list of cached parts; a warmth.News or Unanswered."""
         reply = await self._call(address, 'GET', names.LIST_PATH)
-        return read_news(reply, read_held, 'held')
+        return read_cache_update(reply, read_listed, 'held')
 
     async def free(self, address, epoch, parts, until_ms):
-        """Free parts of a store; True when it was done.
+        """Free parts of a store; True if the store confirms it.
 
         Parameters
         ----------
         parts : sequence of tuple of str
             (namespace, part name) each.
         until_ms : float or None
-            On the targets' clock; a later arrival does nothing.
+            Milliseconds on the targets' clock; the store ignores a call that
+            arrives later.
         """
         body = {'parts': [list(part) for part in parts], 'epoch': epoch}
         if until_ms is not None:
@@ -168,13 +177,15 @@
             )
         except http.Unreachable as error:
             return Unanswered(str(error), error.sent)
-        said = notices.read_folded_notices(reply.status, reply.headers)
-        self._observer.take_beside(called, said)
+        notices_found = notices.read_folded_notices(
+            reply.status, reply.headers
+        )
+        self._observer.take_beside(called, notices_found)
         return reply
 
 
-def read_news(reply, read_row, field):
-    """Decode an answer with events or a list."""
+def read_cache_update(reply, read_row, field):
+    """Decode an answer with cache events or a list of cached parts."""
     if isinstance(reply, Unanswered):
         return reply
     if reply.status != 200:
@@ -183,8 +194,8 @@
         row = reply.json()
         return warmth.News(
             epoch=row['epoch'],
-            # Where the next call begins; the name says token, it counts
-            # events.
+            # Position of the next call; a count of events, in spite of the
+            # name of the field.
             next=int(row['next_token']),
             lost=bool(row.get('lost')),
             changes=tuple(read_row(change) for change in row[field]),
@@ -205,13 +216,13 @@
     return warmth.Change(row[2], row[3], int(row[4]))
 
 
-def read_held(row):
-    """Decode one row of a list."""
+def read_listed(row):
+    """Decode one row of a list of cached parts."""
     return warmth.Change(row[0], row[1], int(row[2]))
 
 
 def read_unwhole(row):
-    """Decode one row of the parts in a list that are not whole.
+    """Decode one row of the incomplete parts in a list.
 
     >>> read_unwhole(['s1', '5c', 100, 800])
     Unwhole(space='s1', part='5c', tokens=100, room=800)
--- a/landingspool/platform/store.py
+++ b/landingspool/platform/store.py
@@ -1,7 +1,7 @@
 """Client of the platform's store: a log of records in topics.
 
-Every call ends in one of the outcomes below; none raises for what the
-store or the network does.
+Every call returns one of the outcomes below; failures of the store or the
+network raise no exception.
 """
 
 import base64
@@ -15,22 +15,23 @@
 from landingspool.platform import names
 from landingspool import uptime
 
-# Seconds for an answer beyond the time for which a read is held; the store
-# answers in 4 ms, in a quarter of a second when it is slow.
+# Seconds for an answer, in addition to the hold time of a read.  The store
+# answers in 4 ms, and in a quarter of a second when it is slow.
 ANSWER_S = 1.0
 LENGTH = struct.Struct('>I')
+# Start of the answer to a read: the end of the log and its first offset.
 ENDS = struct.Struct('>QQ')
-PART = '0'
+PARTITION = '0'
 MAX_KB = '1024'
 
 
 @dataclasses.dataclass(frozen=True)
 class Page:
-    """Records read: the answer to a read that began at `sent`.
+    """Records from a read that began at `sent`.
 
-    `records` are tail.Record; `end` is the offset after the last one.  Where
-    the answer is not `whole` there was more than fitted into it, so that it
-    proves nothing of what had been published until `sent`.
+    `records` are tail.Record; `end` is the offset after the last one.  If the
+    page is not `whole`, more records were available than fitted into it, so
+    it does not hold all that was published until `sent`.
     """
 
     records: tuple
@@ -50,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Appended:
-    """An append was done: the offset of its record."""
+    """An append was done; `offset` is that of its record."""
 
     offset: int
     sent: float
@@ -58,38 +59,38 @@
 
 @dataclasses.dataclass(frozen=True)
 class Conflict:
-    """An append was not done since the topic ends elsewhere."""
+    """An append was not done since the topic ends at another offset."""
 
     end: int
 
 
 @dataclasses.dataclass(frozen=True)
 class Forgotten:
-    """The records asked for are gone from the log."""
+    """The requested records are no longer in the log."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Unavailable:
-    """No usable answer; `done` tells if an append may have been done."""
+    """No usable answer; `done`: an append may have been done."""
 
     reason: str
     done: bool
 
 
 class Store:
-    """Speaks to the store at one address.
+    """Client of the store at one address.
 
     Parameters
     ----------
     client : httpclient.Client
     address : http.Address
     clock : callable, optional
-        Gives monotonic seconds.
+        Returns monotonic seconds.
 
     Attributes
     ----------
     calls : collections.Counter
-        Calls made, by kind and topic: each has a price.
+        Number of calls by kind and topic; each call has a price.
     """
 
     def __init__(self, client, address, clock=uptime.read):
@@ -101,7 +102,8 @@
     async def read(self, topic, start, hold_s):
         """Read the records of a keyed topic from an offset on.
 
-        The call is held for `hold_s` seconds where there is none.
+        The store holds the call for up to `hold_s` seconds until there is a
+        record.
 
         Returns
         -------
@@ -109,7 +111,7 @@
         """
         query = {
             'topic': topic,
-            'part': PART,
+            'part': PARTITION,
             'from': str(start),
             'max_kb': MAX_KB,
             'wait_ms': str(int(hold_s * 1000)),
@@ -130,17 +132,17 @@
         except (struct.error, ValueError) as error:
             return Unavailable(f'read: {error}', False)
         if log_end < start:
-            # The log ends before what was read of it: it is another one.
+            # The log ends before an offset that was read: it is another log.
             return Forgotten()
         end = start + len(pairs)
         records = tuple(
-            tail.Record(key, value, start + place)
-            for place, (key, value) in enumerate(pairs)
+            tail.Record(key, value, start + index)
+            for index, (key, value) in enumerate(pairs)
         )
         return Page(records, end, sent, whole=end >= log_end)
 
     async def read_newest(self, topic):
-        """Read the newest record of every key.
+        """Read the newest record of every key, page by page.
 
         Returns
         -------
@@ -148,7 +150,7 @@
         """
         rows, after, end, first_sent = [], None, None, self._clock()
         while True:
-            query = {'topic': topic, 'part': PART}
+            query = {'topic': topic, 'part': PARTITION}
             if after is not None:
                 query['after'] = after
             reply = await self._call(
@@ -161,8 +163,8 @@
             try:
                 page = reply.json()
                 rows += [read_newest_row(row) for row in page['items']]
-                # The pages are no snapshot: what changed after the first
-                # one was made is read again from its end on.
+                # The pages are no consistent snapshot: the reader reads
+                # changes after the first page again, from its end on.
                 end = page['end'] if end is None else end
             except (ValueError, KeyError, TypeError) as error:
                 return Unavailable(f'newest: {error}', False)
@@ -182,7 +184,7 @@
         -------
         Appended, Conflict or Unavailable
         """
-        query = {'topic': topic, 'part': PART}
+        query = {'topic': topic, 'part': PARTITION}
         if at is not None:
             query['at'] = str(at)
         sent = self._clock()
@@ -199,7 +201,7 @@
                 return Conflict(read_field(reply, 'end'))
             return Appended(read_field(reply, 'offset'), sent)
         except (ValueError, KeyError, TypeError) as error:
-            # It was done or not by its status, but where is not known.
+            # The status tells whether it was done, but not the offset.
             done = reply.status == 200
             return Unavailable(f'append: {error!r}', done)
 
@@ -215,18 +217,18 @@
 
 
 def read_field(reply, name):
-    """Give a whole number out of a JSON answer.
+    """Return a whole number from a JSON answer.
 
     Raises
     ------
     ValueError, KeyError, TypeError
-        Where there is none.
+        If there is none.
     """
     return int(reply.json()[name])
 
 
 def read_newest_row(row):
-    """Give the tail.Record in one row of the newest records."""
+    """Return the tail.Record in one row of the newest records."""
     value = base64.b64decode(row['value'])
     return tail.Record(row['key'], value, row['offset'])
 
@@ -245,7 +247,7 @@
 def split_record(record):
     """Split one keyed record into its key and value.
 
-    Who wrote it may have put in anything; the records beside it hold.
+    Its writer may have put in anything; the records next to it stay valid.
 
     >>> split_record(b'\\x02\\xff\\xfex'), split_record(b'')
     (('\\\\xff\\\\xfe', b'x'), ('', b''))
@@ -266,7 +268,7 @@
     Raises
     ------
     ValueError
-        Where the data ends within a record.
+        If the data ends within a record.
     """
     rows = []
     start = 0
@@ -274,7 +276,7 @@
         (length,) = LENGTH.unpack_from(data, start)
         record = data[start + LENGTH.size : start + LENGTH.size + length]
         if len(record) < length:
-            raise ValueError('a record is cut off')
+            raise ValueError('the last record is truncated')
         rows.append(split_record(record))
         start += LENGTH.size + length
     return tuple(rows)
