--- a/tests/contracts/__init__.py
+++ b/tests/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Contract tests: what each interface's client makes of every answer."""
+"""Contract tests: how the client of each interface handles every answer."""
--- a/tests/contracts/peer.py
+++ b/tests/contracts/peer.py
@@ -1,4 +1,4 @@
-"""A peer that answers with the very bytes that a case names."""
+"""Runs a peer that answers with exactly the bytes of a test case."""
 
 import asyncio
 
@@ -9,18 +9,18 @@
 
 
 def answer(status, body, kind='application/json'):
-    """Give the bytes of a whole answer."""
+    """Return the bytes of a complete answer."""
     data = body.encode()
     return HEAD.format(status, kind, len(data)).encode() + data
 
 
 def stream(*events):
-    """Give the bytes of a stream of events with its end."""
+    """Return the bytes of a stream of events with its end."""
     return open_stream(*events) + b'0\r\n\r\n'
 
 
 def open_stream(*events):
-    """Give the bytes of a stream of events that has no end."""
+    """Return the bytes of a stream of events without its end."""
     head = b'HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n'
     parts = []
     for event in events:
@@ -34,14 +34,14 @@
 
     With `hang` the peer keeps the connection open afterwards.
     """
-    held = asyncio.Event()
+    released = asyncio.Event()
 
     async def serve(reader, writer):
         await reader.read(65536)
         writer.write(reply)
         await writer.drain()
         if hang:
-            await held.wait()
+            await released.wait()
         writer.close()
 
     server = await asyncio.start_server(serve, '127.0.0.1', 0)
@@ -50,13 +50,13 @@
     try:
         return await call(client, address)
     finally:
-        held.set()
+        released.set()
         client.close()
         server.close()
 
 
 async def talk_to_nobody(call):
-    """Run a call against an address where nobody listens."""
+    """Run a call against an address on which no server listens."""
     server = await asyncio.start_server(lambda r, w: None, '127.0.0.1', 0)
     address = http.Address(*server.sockets[0].getsockname())
     server.close()
--- a/tests/contracts/test_platform.py
+++ b/tests/contracts/test_platform.py
@@ -1,4 +1,4 @@
-"""What the clients of the platform make of every answer."""
+"""Tests how the clients of the platform handle every answer."""
 
 import asyncio
 
@@ -43,7 +43,7 @@
 
 
 def matches(found, expected):
-    """Tell whether an outcome is the one expected, or of its class."""
+    """Return whether an outcome equals the expected one or is of its class."""
     if isinstance(expected, type):
         return isinstance(found, expected)
     return found == expected
--- a/tests/contracts/test_targets.py
+++ b/tests/contracts/test_targets.py
@@ -1,4 +1,4 @@
-"""What the clients of targets and stores make of every answer."""
+"""Tests how the clients of targets and stores handle every answer."""
 
 import asyncio
 
@@ -16,12 +16,12 @@
     '"output_tokens": 1, "version": "v1"}'
 )
 JOB = targets.Job('r', 's', 'p', 1, 0, 'v1', ())
-WHOLE = [targets.Token(0, 'a'), targets.End(3, 1, 1, 'v1')]
+COMPLETE = [targets.Token(0, 'a'), targets.End(3, 1, 1, 'v1')]
 
 STREAMS = (
-    ('whole', peer.stream(TOKEN, END), WHOLE),
-    ('no end mark', peer.stream(TOKEN), [WHOLE[0], targets.Cut]),
-    ('cut', peer.open_stream(TOKEN), [WHOLE[0], targets.Cut]),
+    ('whole', peer.stream(TOKEN, END), COMPLETE),
+    ('no end mark', peer.stream(TOKEN), [COMPLETE[0], targets.Cut]),
+    ('cut', peer.open_stream(TOKEN), [COMPLETE[0], targets.Cut]),
     ('cut in an event', peer.open_stream(TOKEN)[:-9], [targets.Cut]),
     ('nonsense', peer.stream('oops'), [targets.Cut]),
     ('neither', peer.stream('{"text": "a"}'), [targets.Cut]),
@@ -57,7 +57,7 @@
 
 
 def is_like(found, expected):
-    """Tell whether an event is the one expected, or of its class."""
+    """Return whether an event equals the expected one or is of its class."""
     if isinstance(expected, type):
         return isinstance(found, expected)
     return found == expected
--- a/tests/gateway/test_boot.py
+++ b/tests/gateway/test_boot.py
@@ -1,4 +1,4 @@
-"""What a box takes from the platform's settings file."""
+"""Tests how a box reads the platform's settings file."""
 
 import copy
 
