--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -234,7 +234,7 @@
         ):
             # Another target has taken over the address: this one is gone.
             self._view.fleet.drop(name, self._hub.clock(), False)
-        elif not head.words.is_wish:
+        elif not head.notices.asks_for_less:
             # A target that asks for fewer requests and rejects the surplus
             # is healthy; any other rejection counts as a failure.
             self._record_loss(certain=True)
@@ -255,7 +255,7 @@
         wait_s = self._hub.timer.measure_run(self._sent_at)
         # A target that asks for a back-off lacks free capacity and has said
         # for how long: that is no failure.
-        failed = head.status >= 500 and not head.words.asks_rest
+        failed = head.status >= 500 and not head.notices.asks_backoff
         self._view.record_answer(self._plan, wait_s, failed)
         return outcomes.Failed(head, bytes(body))
 
@@ -362,8 +362,8 @@
         # A missing limit means "no limit" only in a signed success.
         certain = answered and is_success(head)
         name = self._plan.entry.name
-        self._hub.hearing.take(name, head.words, self._sent_at, certain)
-        if answered and not head.words.asks_rest:
+        self._hub.hearing.take(name, head.notices, self._sent_at, certain)
+        if answered and not head.notices.asks_backoff:
             self._view.bars.rests.record_answered(name, self._sent_at)
 
     def _record_version(self, version):
@@ -397,7 +397,7 @@
     if head.name != name:
         return False
     if is_success(head):
-        return head.stamped and not head.coded
+        return head.stamped and not head.content_encoded
     return True
 
 
--- a/landingspool/gateway/following.py
+++ b/landingspool/gateway/following.py
@@ -327,7 +327,7 @@
         self._watch.end = page.end
 
     def _take(self, record):
-        if record.key.startswith(names.ENDINGS_KEY):
+        if record.key.startswith(names.CRASHES_KEY):
             self._hub.marks.take(record)
             return
         try:
--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/hearing.py
@@ -5,7 +5,7 @@
 from landingspool.decisions.gateway import neighbours
 from landingspool.gateway import marks
 from landingspool.platform import limits as field
-from landingspool.platform import notices as words_module
+from landingspool.platform import notices as notices_module
 
 
 class Called(typing.NamedTuple):
@@ -152,18 +152,18 @@
 
     def _take_limit(self, name, limit, asked, certain):
         now = self._hub.clock()
-        if isinstance(limit, field.Named):
+        if isinstance(limit, field.AdvertisedLimit):
             self._limits.record_named(name, limit.per_s, asked, now)
             self._hub.peering.hurry()
-        elif isinstance(limit, field.Unnamed) and certain:
+        elif isinstance(limit, field.Absent) and certain:
             self._limits.record_unnamed(name, asked, now)
 
     def _take_rest(self, name, rest):
-        if isinstance(rest, words_module.Rest):
+        if isinstance(rest, notices_module.Backoff):
             self._rests.record_asked(name, rest.seconds, self._hub.clock())
 
     def _take_leaving(self, name, leaving):
-        if isinstance(leaving, words_module.Leaving):
+        if isinstance(leaving, notices_module.Leaving):
             self._leaving.record_told(name, self._hub.clock())
 
     def _record_unreadable(self, name, title, text):
--- a/landingspool/gateway/marks.py
+++ b/landingspool/gateway/marks.py
@@ -55,11 +55,11 @@
     def take(self, record):
         """Take in what a box has written; an empty value lifts a bar."""
         now = self._hub.clock()
-        key = record.key.removeprefix(names.ENDINGS_KEY)
+        key = record.key.removeprefix(names.CRASHES_KEY)
         self._written[key] = record.value
         try:
             if record.value:
-                words = catalogue.read_endings(
+                words = catalogue.read_crashes(
                     key, record.value, self._hub.wall()
                 )
             else:
@@ -101,7 +101,7 @@
             ages_ms=[word.age_ms for word in words],
         )
         wall = self._hub.wall()
-        self._put(fingerprint, catalogue.write_endings(words, wall))
+        self._put(fingerprint, catalogue.write_crashes(words, wall))
 
     def _put(self, fingerprint, value):
         key = fingerprint.hex()
@@ -116,7 +116,7 @@
             await asyncio.sleep(min(left_s, TURN_S))
         elif not self._is_written(key, due.value):
             reply = await self._hub.store.append(
-                names.CLAIMS_TOPIC, f'{names.ENDINGS_KEY}{key}', due.value
+                names.CLAIMS_TOPIC, f'{names.CRASHES_KEY}{key}', due.value
             )
             if isinstance(reply, store_module.Unavailable):
                 await self._hub.sources.wait_answered(AWAY_S)
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -243,7 +243,7 @@
             return runners.Unanswered('it wants no calls', False)
         report = await self._hub.runners.report(entry.address)
         if isinstance(report, runners.Report):
-            if report.is_other_life(fleet.read_life(entry.name)):
+            if report.is_other_incarnation(fleet.read_life(entry.name)):
                 return runners.Unanswered('it has started again', True)
             version = report.versions.get(order.model)
             if version is not None:
--- a/landingspool/gateway/stream.py
+++ b/landingspool/gateway/stream.py
@@ -78,7 +78,7 @@
         else:
             await self._reply.start(self._status, self._headers, complete)
         self.any_sent = True
-        return answers.find_event_version(complete)
+        return answers.read_event_version(complete)
 
     def is_complete(self):
         """Return whether the last event that was received is complete."""
--- a/landingspool/gateway/upstream.py
+++ b/landingspool/gateway/upstream.py
@@ -316,7 +316,7 @@
         if not clean or self._answered_early or head.closing:
             self._connection.close()
             return
-        advertised_s = head.kept_s
+        advertised_s = head.keep_alive_s
         idle_s = (
             DEFAULT_IDLE_S
             if advertised_s is None
--- a/landingspool/platform/answers.py
+++ b/landingspool/platform/answers.py
@@ -23,17 +23,17 @@
         Whether the target signed it.
     not_run : bool
         Whether it says that the request was not executed and never will be.
-    coded : bool
+    content_encoded : bool
         Whether the body has a content encoding.
     closing : bool
         Whether the target closes the connection after this answer.
-    kept_s : float or None
+    keep_alive_s : float or None
         Whole seconds for which the target keeps the idle connection.
     version : int or None
         Version of the weights that made the answer.
     target : str
         Id of the target that answered; empty if not stated.
-    words : notices.Notices
+    notices : notices.Notices
         What the answer announces about its target.
     """
 
@@ -42,12 +42,12 @@
     name: str
     stamped: bool
     not_run: bool
-    coded: bool
+    content_encoded: bool
     closing: bool
-    kept_s: float | None
+    keep_alive_s: float | None
     version: int | None
     target: str
-    words: notices_module.Notices = notices_module.Notices()
+    notices: notices_module.Notices = notices_module.Notices()
 
 
 def read_head(status, headers):
@@ -64,12 +64,13 @@
         name=found.get(names.REQUEST_ID, ''),
         stamped=bool(found.get(names.STAMP)),
         not_run=names.NOT_RUN in found or status == MISDIRECTED,
-        coded=found.get('content-encoding', 'identity') != 'identity',
+        content_encoded=found.get('content-encoding', 'identity')
+        != 'identity',
         closing='close' in found.get('connection', '').lower(),
-        kept_s=read_keep_alive(found.get('keep-alive', '')),
+        keep_alive_s=read_keep_alive(found.get('keep-alive', '')),
         version=read_integer(found.get(names.VERSION)),
         target=found.get(names.TARGET_ID, ''),
-        words=notices_module.read_head_notices(status, headers),
+        notices=notices_module.read_head_notices(status, headers),
     )
 
 
@@ -100,10 +101,10 @@
     ]
 
 
-def find_event_version(event):
+def read_event_version(event):
     """Return the version of the weights that a stream event names, or None.
 
-    >>> find_event_version(b'versions: 3\\nid: 7\\ndata: x')
+    >>> read_event_version(b'versions: 3\\nid: 7\\ndata: x')
     3
     """
     first, _, _ = event.partition(b'\n')
--- a/landingspool/platform/catalogue.py
+++ b/landingspool/platform/catalogue.py
@@ -285,7 +285,7 @@
     }
 
 
-def write_endings(notices, wall_s):
+def write_crashes(notices, wall_s):
     """Encode the crashes of targets under one request.
 
     Parameters
@@ -300,11 +300,11 @@
     return json.dumps(rows).encode()
 
 
-def read_endings(key, value, wall_s):
+def read_crashes(key, value, wall_s):
     """Decode the crashes of targets under one request as CrashNotice.
 
     >>> notice = neighbours.CrashNotice(b'f', 7, 500)
-    >>> read_endings('66', write_endings([notice], 10.0), 12.0)
+    >>> read_crashes('66', write_crashes([notice], 10.0), 12.0)
     [CrashNotice(fingerprint=b'f', life=7, age_ms=2500)]
 
     Raises
--- a/landingspool/platform/limits.py
+++ b/landingspool/platform/limits.py
@@ -13,13 +13,13 @@
 MAX_LOGGED_CHARS = 40
 
 
-class Named(typing.NamedTuple):
+class AdvertisedLimit(typing.NamedTuple):
     """The answer advertises a limit, in requests a second."""
 
     per_s: float
 
 
-class Unnamed(typing.NamedTuple):
+class Absent(typing.NamedTuple):
     """The answer does not have the header."""
 
 
@@ -39,10 +39,10 @@
 
     Returns
     -------
-    Named, Unnamed or Unreadable
+    AdvertisedLimit, Absent or Unreadable
 
     >>> read_limit([]), read_limit(['1.8']), read_limit(['2', '1.5, 3'])
-    (Unnamed(), Named(per_s=1.8), Named(per_s=1.5))
+    (Absent(), AdvertisedLimit(per_s=1.8), AdvertisedLimit(per_s=1.5))
     >>> [read_limit([text]) for text in ('', '0', 'inf', '1e3', '-1')]
     ... # doctest: +NORMALIZE_WHITESPACE
     [Unreadable(text="''"), Unreadable(text="'0'"), Unreadable(text="'inf'"),
@@ -51,11 +51,11 @@
     Unreadable(text="'9999999999999999999999999999999999999999'")
     """
     if not texts:
-        return Unnamed()
+        return Absent()
     numbers = [read_number(part) for part in split_parts(texts)]
     if None in numbers:
         return Unreadable(quote_lines(texts))
-    return Named(min(numbers))
+    return AdvertisedLimit(min(numbers))
 
 
 def read_number(text):
--- a/landingspool/platform/names.py
+++ b/landingspool/platform/names.py
@@ -95,7 +95,7 @@
 BOXES_TOPIC = 'keyed.boxes'
 CLAIMS_TOPIC = 'keyed.claims'
 # Prefix of fingerprints in record keys of CLAIMS_TOPIC; no box name has it.
-ENDINGS_KEY = 'ended/'
+CRASHES_KEY = 'ended/'
 # Record keys in PUBLISHED_TOPIC.
 TABLE_KEY = 'config'
 VERSION_KEY = 'version/'
--- a/landingspool/platform/notices.py
+++ b/landingspool/platform/notices.py
@@ -15,14 +15,14 @@
 UNAVAILABLE = 503
 # Maximum seconds of a back-off; longer ones are cut to it, so that a number of
 # any size expires.
-MOST_REST_S = 3600.0
+MAX_BACKOFF_S = 3600.0
 
 
 class Leaving(typing.NamedTuple):
     """The target leaves and wants no new requests."""
 
 
-class Rest(typing.NamedTuple):
+class Backoff(typing.NamedTuple):
     """The target wants no request of this box for a number of seconds."""
 
     seconds: float
@@ -33,27 +33,27 @@
 
     Attributes
     ----------
-    limit : limits.Named, limits.Unnamed or limits.Unreadable
-    rest : Rest, limits.Unnamed or limits.Unreadable
-    leaving : Leaving, limits.Unnamed or limits.Unreadable
+    limit : limits.AdvertisedLimit, limits.Absent or limits.Unreadable
+    rest : Backoff, limits.Absent or limits.Unreadable
+    leaving : Leaving, limits.Absent or limits.Unreadable
     """
 
-    limit: typing.Any = limits.Unnamed()
-    rest: typing.Any = limits.Unnamed()
-    leaving: typing.Any = limits.Unnamed()
+    limit: typing.Any = limits.Absent()
+    rest: typing.Any = limits.Absent()
+    leaving: typing.Any = limits.Absent()
 
     @property
-    def asks_rest(self):
+    def asks_backoff(self):
         """Whether the target asks for a back-off."""
-        return isinstance(self.rest, Rest)
+        return isinstance(self.rest, Backoff)
 
     @property
-    def is_wish(self):
+    def asks_for_less(self):
         """Whether the target asks for fewer requests.
 
         A refusal then does not count as a failure of the target.
         """
-        demands = limits.Named, Rest, Leaving
+        demands = limits.AdvertisedLimit, Backoff, Leaving
         return any(isinstance(notice, demands) for notice in self)
 
 
@@ -67,12 +67,12 @@
 
     >>> rows = {'server-leaving': ['1'], 'retry-after': ['2.5']}
     >>> notices = read_notices(503, lambda name: rows.get(name, []))
-    >>> notices.rest, notices.leaving, notices.is_wish
-    (Rest(seconds=2.5), Leaving(), True)
+    >>> notices.rest, notices.leaving, notices.asks_for_less
+    (Backoff(seconds=2.5), Leaving(), True)
     >>> read_notices(200, lambda name: rows.get(name, [])).rest
-    Unnamed()
+    Absent()
     """
-    rest = limits.Unnamed()
+    rest = limits.Absent()
     if status == UNAVAILABLE:
         rest = read_backoff(find(names.RETRY_AFTER))
     return Notices(
@@ -113,12 +113,12 @@
     """Decode whether a target leaves.
 
     >>> read_leaving([]), read_leaving([' 1']), read_leaving(['0', '1'])
-    (Unnamed(), Leaving(), Leaving())
+    (Absent(), Leaving(), Leaving())
     >>> read_leaving(['yes'])
     Unreadable(text="'yes'")
     """
     if not texts:
-        return limits.Unnamed()
+        return limits.Absent()
     parts = limits.split_parts(texts)
     if LEAVING_VALUE in parts:
         return Leaving()
@@ -129,21 +129,21 @@
     """Decode for how long a target wants no request; the longest applies.
 
     >>> read_backoff([]), read_backoff(['3']), read_backoff(['0.5', '2, soon'])
-    (Unnamed(), Rest(seconds=3.0), Rest(seconds=2.0))
+    (Absent(), Backoff(seconds=3.0), Backoff(seconds=2.0))
     >>> [read_backoff([text]) for text in ('', '0', 'nan', 'inf', '-1', '1e9')]
     ... # doctest: +NORMALIZE_WHITESPACE
     [Unreadable(text="''"), Unreadable(text="'0'"), Unreadable(text="'nan'"),
     Unreadable(text="'inf'"), Unreadable(text="'-1'"),
     Unreadable(text="'1e9'")]
     >>> read_backoff(['9' * 300])
-    Rest(seconds=3600.0)
+    Backoff(seconds=3600.0)
     >>> read_backoff(['Fri, 04 Dec 2026 10:00:00 GMT'])
     Unreadable(text="'Fri, 04 Dec 2026 10:00:00 GMT'")
     """
     if not texts:
-        return limits.Unnamed()
+        return limits.Absent()
     numbers = [limits.read_number(part) for part in limits.split_parts(texts)]
     readable = [number for number in numbers if number is not None]
     if not readable:
         return limits.Unreadable(limits.quote_lines(texts))
-    return Rest(min(max(readable), MOST_REST_S))
+    return Backoff(min(max(readable), MAX_BACKOFF_S))
--- a/landingspool/platform/runners.py
+++ b/landingspool/platform/runners.py
@@ -30,7 +30,7 @@
     running: int
     born: int = 0
 
-    def is_other_life(self, incarnation):
+    def is_other_incarnation(self, incarnation):
         """Return whether it is from another incarnation than a fleet.Life."""
         return bool(
             self.born and incarnation.born and self.born != incarnation.born
--- a/landingspool/platform/store.py
+++ b/landingspool/platform/store.py
@@ -20,7 +20,7 @@
 ANSWER_S = 1.0
 LENGTH = struct.Struct('>I')
 # Start of the answer to a read: the end of the log and its first offset.
-ENDS = struct.Struct('>QQ')
+LOG_BOUNDS = struct.Struct('>QQ')
 PARTITION = '0'
 MAX_KB = '1024'
 
@@ -127,8 +127,8 @@
         if reply.status != 200:
             return Unavailable(f'status {reply.status}', False)
         try:
-            log_end, _ = ENDS.unpack_from(reply.body)
-            pairs = split_records(reply.body[ENDS.size :])
+            log_end, _ = LOG_BOUNDS.unpack_from(reply.body)
+            pairs = split_records(reply.body[LOG_BOUNDS.size :])
         except (struct.error, ValueError) as error:
             return Unavailable(f'read: {error}', False)
         if log_end < start:
--- a/standins/platformstore.py
+++ b/standins/platformstore.py
@@ -145,7 +145,7 @@
         body = struct.pack('>QQ', topic.end, topic.first)
         for key, value in topic.records[start - topic.first :]:
             record = protocol.pack_record(key, value)
-            if len(body) > protocol.ENDS.size and (
+            if len(body) > protocol.LOG_BOUNDS.size and (
                 len(body) + len(record) > most_bytes
             ):
                 break
--- a/tests/gateway/test_limit_words.py
+++ b/tests/gateway/test_limit_words.py
@@ -50,7 +50,9 @@
 
 def test_several_lines_of_the_field_are_one_limit():
     rows = [(b'server-limit', b'3'), (b'x', b'1'), (b'server-limit', b'2.5')]
-    assert notices.read_head_notices(200, rows).limit == field.Named(2.5)
+    assert notices.read_head_notices(200, rows).limit == field.AdvertisedLimit(
+        2.5
+    )
 
 
 def test_a_new_life_of_a_target_has_no_limit():
--- a/tests/gateway/test_rest_words.py
+++ b/tests/gateway/test_rest_words.py
@@ -50,13 +50,13 @@
 
 def test_the_longest_of_several_lines_holds_and_no_figure_is_endless():
     rows = [(b'retry-after', b'1'), (b'retry-after', b'2.5, soon')]
-    assert notices.read_head_notices(503, rows).rest == notices.Rest(2.5)
+    assert notices.read_head_notices(503, rows).rest == notices.Backoff(2.5)
     rows = [(b'retry-after', b'9' * 300)]
     assert (
         notices.read_head_notices(503, rows).rest.seconds
-        == notices.MOST_REST_S
+        == notices.MAX_BACKOFF_S
     )
-    assert notices.read_head_notices(429, rows).rest == field.Unnamed()
+    assert notices.read_head_notices(429, rows).rest == field.Absent()
 
 
 def test_it_is_no_failure_of_the_target_whether_it_ran_or_not():
