--- a/bench/many.py
+++ b/bench/many.py
@@ -18,13 +18,13 @@
 from bench import engine
 from bench import mixes
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import prompts
 from landingspool.decisions.gateway import rollouts
 from landingspool.decisions.gateway import routes
 from landingspool.decisions.gateway import view as view_module
-from landingspool.decisions.gateway import warmth
+from landingspool.decisions.gateway import context_index
 from landingspool.gateway import deployment
 
 STORE = '10.0.0.1:1'
@@ -100,18 +100,20 @@
     avoid: tuple = ()
 
 
-class SharedStore(warmth.Warmth):
+class SharedStore(context_index.ContextIndex):
     """What a box knows is kept; the store's part is the same for all."""
 
     def __init__(self, held):
         super().__init__()
-        self._index = warmth.Index(1, 0, held, 0.0, 0.0, 0.0, used=1)
+        self._index = context_index.CacheContents(
+            1, 0, held, 0.0, 0.0, 0.0, used=1
+        )
 
     def get(self, name):
         return self._index if name == STORE else super().get(name)
 
-    def kept(self, name):
-        return self._index.kept if name == STORE else super().kept(name)
+    def cached(self, name):
+        return self._index.cached if name == STORE else super().cached(name)
 
     def may_fetch(self, name, now):
         return name == STORE
@@ -148,11 +150,11 @@
             domain, deployment.Bounds(version_s=15.0), number
         )
         view.put_table(make_table(size))
-        view.warmth = SharedStore(self._held)
+        view.context_index = SharedStore(self._held)
         view.boxes = size.boxes
-        others = [f'd{n % size.domains}' for n in range(size.boxes)]
-        view.others = collections.Counter(others)
-        view.others[domain] -= 1
+        peers_by_domain = [f'd{n % size.domains}' for n in range(size.boxes)]
+        view.peers_by_domain = collections.Counter(peers_by_domain)
+        view.peers_by_domain[domain] -= 1
         near = range(number % size.domains, size.boxes, size.domains)
         view.watching.set_members(
             str(number), [str(n) for n in near if n != number]
@@ -190,11 +192,11 @@
     def _tell_others(self, box, now):
         view, size = self._views[box], self._size
         self._numbers[box] += 1
-        digest = neighbours.Digest(
+        digest = peer_digests.Digest(
             str(box),
             view.domain,
             self._numbers[box],
-            neighbours.code_loads(view.loads.list_told()),
+            peer_digests.hash_loads(view.loads.list_told()),
             view.reach.list_told(),
             limits=view.bars.limits.tell(now),
         )
@@ -203,7 +205,7 @@
             if other != box:
                 same = self._views[other].domain == view.domain
                 (near if same else far).append(other)
-        for other in neighbours.pick_told(near, far, view.rng):
+        for other in peer_digests.pick_recipients(near, far, view.rng):
             self._views[other].take_digest(digest, now)
 
     def _is_dark(self, address, now):
@@ -242,8 +244,10 @@
         ]
         if version < view.weights.named['m'].version or not behind:
             return
-        left = [view.find_time_left(name, 'm', now) for name in behind]
-        names = behind[: rollouts.find_room(self._size.engines, left)]
+        left = [view.get_time_left(name, 'm', now) for name in behind]
+        names = behind[
+            : rollouts.compute_concurrency(self._size.engines, left)
+        ]
         for view in self._views:
             view.weights.put_loading(dict.fromkeys(names, CLOSING_S), now)
         for name in names:
@@ -444,10 +448,12 @@
 def make_table(size):
     """Give the table of a service of engines with a store."""
     kind = routes.Engine(size.slots, size.capacity, 35_136, 1.1e6, 4, True)
-    keeper = routes.Keeper(STORE, 'd0', 10**9, 310_000.0, 4, True, 0.0005)
+    context_store = routes.ContextStore(
+        STORE, 'd0', 10**9, 310_000.0, 4, True, 0.0005
+    )
     services = [
         routes.Service('engine', max_connections=1300, engine=kind),
-        routes.Service('store', keeper=keeper),
+        routes.Service('store', context_store=context_store),
     ]
     return routes.make_table(
         1,
--- a/landingspool/box.py
+++ b/landingspool/box.py
@@ -22,21 +22,21 @@
 from landingspool.operators import server as operators
 from landingspool import settings as settings_module
 from landingspool import timer as timer_module
-from landingspool import uptime
+from landingspool import boot_clock
 
 LIVE_POLL_S = 0.5
 DRAIN_NOTICE_S = 1.5
 DRAIN_POLL_S = 0.05
 
 
-class Outside(typing.NamedTuple):
+class Environment(typing.NamedTuple):
     """What a box reaches the world through.
 
     `clock` gives monotonic seconds, `wall` those of the wall clock.
     """
 
     client: typing.Any
-    clock: typing.Callable = uptime.read
+    clock: typing.Callable = boot_clock.read
     wall: typing.Callable = time.time
 
 
@@ -48,7 +48,7 @@
     settings : settings.Settings
     incarnation : str
         Sorts after those of all earlier starts of this box.
-    outside : Outside
+    outside : Environment
     """
 
     def __init__(self, settings, incarnation, outside):
--- a/landingspool/boxes/datagrams.py
+++ b/landingspool/boxes/datagrams.py
@@ -10,12 +10,12 @@
 import cbor2
 import msgspec
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 
 MESSAGE_TYPES = {
-    'digest': neighbours.Digest,
-    'ask': neighbours.Ask,
-    'tell': neighbours.Tell,
+    'digest': peer_digests.Digest,
+    'ask': peer_digests.Ask,
+    'tell': peer_digests.Tell,
 }
 MESSAGE_NAMES = {kind: name for name, kind in MESSAGE_TYPES.items()}
 # A larger datagram is fragmented on the way and therefore easily lost.
@@ -82,7 +82,7 @@
 def encode(message):
     """Encode a message.
 
-    >>> decode(encode(neighbours.Ask('a', 1)))
+    >>> decode(encode(peer_digests.Ask('a', 1)))
     Ask(box='a', number=1)
     """
     return cbor2.dumps([MESSAGE_NAMES[type(message)], *message])
--- a/landingspool/boxes/link.py
+++ b/landingspool/boxes/link.py
@@ -20,7 +20,7 @@
 
 from landingspool.boxes import handshake
 from landingspool.decisions import messages
-from landingspool import patience
+from landingspool import timeouts
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 HANDSHAKE_S = 2.0
@@ -129,7 +129,7 @@
             close_timeout=HANDSHAKE_S,
             proxy=None,
         ) as socket:
-            async with patience.Limit(HANDSHAKE_S):
+            async with timeouts.Timeout(HANDSHAKE_S):
                 await self._authenticate_to_peer(socket)
             while not outbound.stopped:
                 batch = await outbound.take()
@@ -147,7 +147,7 @@
     async def _accept(self, socket):
         peer = None
         try:
-            async with patience.Limit(HANDSHAKE_S):
+            async with timeouts.Timeout(HANDSHAKE_S):
                 peer = await self._authenticate_peer(socket)
             async for frame in socket:
                 self._receive(peer, frame)
--- a/landingspool/callers/server.py
+++ b/landingspool/callers/server.py
@@ -122,8 +122,8 @@
         self.stopping = False
         self._numbers = itertools.count(1)
         self._recalls = {}
-        core.relays[messages.Recall] = self._answer_recall
-        core.relays[messages.Recalled] = self._take_recalled
+        core.message_handlers[messages.Recall] = self._answer_recall
+        core.message_handlers[messages.Recalled] = self._take_recalled
 
     @property
     def name(self):
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -15,7 +15,7 @@
 from landingspool.decisions import records
 from landingspool.decisions import request as life_module
 from landingspool import http
-from landingspool import patience
+from landingspool import timeouts
 from landingspool.targets import client as targets
 from landingspool import verdict
 
@@ -76,7 +76,7 @@
         """Serve the request; returns an answers.Kept or a Rejection."""
         inbox = self.core.open_inbox(self.request)
         try:
-            async with patience.Limit(self.demand.deadline_s):
+            async with timeouts.Timeout(self.demand.deadline_s):
                 return await self._serve(inbox)
         except TimeoutError:
             self._cancel_run()
@@ -134,7 +134,7 @@
             fetch=len(grant.fetch),
             cached=grant.cached,
         )
-        self._address = self.core.find_address(grant.target)
+        self._address = self.core.get_address(grant.target)
         began = self.core.timer.now()
         reason = self._find_stale(grant, came)
         if reason:
--- a/landingspool/command/tables.py
+++ b/landingspool/command/tables.py
@@ -15,7 +15,7 @@
 from landingspool.command import remote
 from landingspool.decisions import identity
 from landingspool.decisions import records
-from landingspool import uptime
+from landingspool import boot_clock
 
 FORCE_WAIT_S = 18.0
 FORCE_POLL_S = 0.25
@@ -220,11 +220,11 @@
     async def _show_accepted(self, boxes, result):
         offset = result['offset']
         self.line(f'accepted at offset {offset}')
-        deadline = uptime.read() + FORCE_WAIT_S
+        deadline = boot_clock.read() + FORCE_WAIT_S
         while True:
             reached = await boxes.ask_all('/admin/table')
             late = [r for r in reached if not is_in_force(r, offset)]
-            if not late or uptime.read() > deadline:
+            if not late or boot_clock.read() > deadline:
                 break
             await asyncio.sleep(FORCE_POLL_S)
         rows = [list_force(box, offset) for box in reached]
--- a/landingspool/core.py
+++ b/landingspool/core.py
@@ -43,7 +43,7 @@
         self.metrics = metrics
         self.client = client
         self.links = None
-        self.relays = {}
+        self.message_handlers = {}
         self._inboxes = {}
         self._tasks = set()
         self._event_numbers = {}
@@ -113,7 +113,7 @@
         """Take in the live list."""
         self.perform(self.node.set_live(members, self.timer.now()))
 
-    def find_address(self, name):
+    def get_address(self, name):
         """Give the Address of a member, or None."""
         member = self.node.members.get(name)
         return http.Address(member.host, member.port) if member else None
@@ -145,7 +145,7 @@
             inbox.put_nowait((action.message, self.timer.now()))
 
     def _relay(self, action):
-        call = self.relays.get(type(action.message))
+        call = self.message_handlers.get(type(action.message))
         if call is not None:
             call(action.sender, action.message)
 
--- a/landingspool/daemon.py
+++ b/landingspool/daemon.py
@@ -14,7 +14,7 @@
 from landingspool import http
 from landingspool import httpclient
 from landingspool import settings as settings_module
-from landingspool import uptime
+from landingspool import boot_clock
 
 BAD_SETTINGS = 2
 CLOSE_GRACE_S = 1.0
@@ -34,7 +34,7 @@
         # Milliseconds of the start, in hexadecimal: a later start of the
         # same box sorts after an earlier one.
         incarnation = f'{time.time_ns() // 1_000_000:x}'
-        outside = box_module.Outside(self.client)
+        outside = box_module.Environment(self.client)
         self.box = box_module.Box(settings, incarnation, outside)
         self.links = self._make_links()
         self.caller_server = http.Server(
@@ -71,7 +71,7 @@
         )
         return link.Links(
             identity,
-            core.find_address,
+            core.get_address,
             core.deliver,
             core.recorder,
             core.metrics,
@@ -109,7 +109,7 @@
     events.configure_logs(settings.logs.format, settings.logs.level)
     # What was imported stays for good and need not be looked at again.
     gc.freeze()
-    uptime.run(serve(settings))
+    boot_clock.run(serve(settings))
     return 0
 
 
--- a/landingspool/decisions/gateway/admission.py
+++ b/landingspool/decisions/gateway/admission.py
@@ -111,7 +111,7 @@
     return chance >= (share - first) / (last - first)
 
 
-def find_retry_after(wait_s, pressure, rng):
+def compute_retry_after(wait_s, pressure, rng):
     """Give the seconds after which a refused caller should come back.
 
     Parameters
@@ -124,9 +124,9 @@
         Spreads the callers.
 
     >>> import random
-    >>> 0.48 <= find_retry_after(0.9, 0.5, random.Random(1)) <= 0.84
+    >>> 0.48 <= compute_retry_after(0.9, 0.5, random.Random(1)) <= 0.84
     True
-    >>> 0.6 <= find_retry_after(0.1, 1.0, random.Random(1)) <= 1.05
+    >>> 0.6 <= compute_retry_after(0.1, 1.0, random.Random(1)) <= 1.05
     True
     """
     seconds = min(max(wait_s, LEAST_RETRY_S), MOST_RETRY_S)
--- a/landingspool/decisions/gateway/homes.py
+++ b/landingspool/decisions/gateway/allowed_regions.py
@@ -6,7 +6,7 @@
 """
 
 
-def find_regions(route, tenancy):
+def get_allowed_regions(route, tenancy):
     """Give the regions that a request may use; None: any.
 
     Parameters
@@ -21,9 +21,9 @@
     >>> from landingspool.decisions.gateway import routes
     >>> route = routes.Route('r', 'h', '/', 'safe', 1, 1, 0, (),
     ...                      regions=frozenset('ab'))
-    >>> sorted(find_regions(route, None))
+    >>> sorted(get_allowed_regions(route, None))
     ['a', 'b']
-    >>> sorted(find_regions(route, routes.Tenancy('w', None, False,
+    >>> sorted(get_allowed_regions(route, routes.Tenancy('w', None, False,
     ...                                           frozenset('bc'))))
     ['b']
     """
@@ -33,19 +33,19 @@
     return frozenset.intersection(*named) if named else None
 
 
-def is_home(domain, regions, region_of):
+def is_domain_allowed(domain, regions, region_of):
     """Tell whether a domain is in one of the regions.
 
     Parameters
     ----------
     regions : frozenset of str or None
-        As find_regions.
+        As get_allowed_regions.
     region_of : dict of str to str
         The region of each domain; one that is not known is no home.
 
-    >>> is_home('d', None, {}), is_home('d', frozenset('a'), {})
+    >>> is_domain_allowed('d', None, {}), is_domain_allowed('d', frozenset('a'), {})
     (True, False)
-    >>> is_home('d', frozenset('a'), {'d': 'a'})
+    >>> is_domain_allowed('d', frozenset('a'), {'d': 'a'})
     True
     """
     return regions is None or region_of.get(domain) in regions
--- a/landingspool/decisions/gateway/rests.py
+++ b/landingspool/decisions/gateway/backoffs.py
@@ -54,7 +54,7 @@
     rest: Rest
 
 
-class Rests:
+class Backoffs:
     """The rests that targets have asked of this box.
 
     Parameters
@@ -73,14 +73,14 @@
         self._known = collections.OrderedDict()
         self._ended = []
 
-    def record_asked(self, name, seconds, now):
+    def record_backoff(self, name, seconds, now):
         """Take in that a target asks for so many seconds of rest.
 
         >>> import random
-        >>> rests = Rests(random.Random(1))
-        >>> rests.record_asked('t', 3.0, 10.0)
-        >>> rests.record_asked('t', 0.5, 10.2)
-        >>> rests.may_send('t', 13.0), rests.may_send('t', 13.31)
+        >>> backoffs = Backoffs(random.Random(1))
+        >>> backoffs.record_backoff('t', 3.0, 10.0)
+        >>> backoffs.record_backoff('t', 0.5, 10.2)
+        >>> backoffs.may_send('t', 13.0), backoffs.may_send('t', 13.31)
         (False, True)
         """
         until = now + seconds * (1 + self._rng.uniform(0, SPREAD))
@@ -107,16 +107,16 @@
         answer says nothing of what requests would find.
 
         >>> import random
-        >>> rests = Rests(random.Random(1))
-        >>> rests.record_asked('t', 1.0, 10.0)
-        >>> rests.record_answered('t', 10.1)
-        >>> rests.may_send('t', 10.5)
+        >>> backoffs = Backoffs(random.Random(1))
+        >>> backoffs.record_backoff('t', 1.0, 10.0)
+        >>> backoffs.record_answered('t', 10.1)
+        >>> backoffs.may_send('t', 10.5)
         False
-        >>> rests.record_sent('t', 11.2)
-        >>> rests.may_send('t', 11.3), rests.may_send('t', 12.3)
+        >>> backoffs.record_sent('t', 11.2)
+        >>> backoffs.may_send('t', 11.3), backoffs.may_send('t', 12.3)
         (False, True)
-        >>> rests.record_answered('t', 11.2)
-        >>> rests.may_send('t', 11.3)
+        >>> backoffs.record_answered('t', 11.2)
+        >>> backoffs.may_send('t', 11.3)
         True
         """
         known = self._known.get(name)
@@ -143,7 +143,7 @@
             return 0.0
         return max(known.tried + TRIAL_S - now, 0.0)
 
-    def list_resting(self, now):
+    def list_backoffs(self, now):
         """Give the seconds left of each rest, by the name of the life."""
         return {
             name: round(known.until - now, 1)
@@ -155,9 +155,9 @@
         """Give the names of those whose rest has ended since last asked.
 
         >>> import random
-        >>> rests = Rests(random.Random(1))
-        >>> rests.record_asked('t', 1.0, 10.0)
-        >>> rests.take_over(10.5), rests.take_over(11.2), rests.take_over(11.3)
+        >>> backoffs = Backoffs(random.Random(1))
+        >>> backoffs.record_backoff('t', 1.0, 10.0)
+        >>> backoffs.take_over(10.5), backoffs.take_over(11.2), backoffs.take_over(11.3)
         ([], ['t'], [])
         """
         over, self._ended = self._ended, []
--- a/landingspool/decisions/gateway/room.py
+++ b/landingspool/decisions/gateway/capacity.py
@@ -6,26 +6,26 @@
 """
 
 from landingspool.decisions.gateway import limits as limits_module
-from landingspool.decisions.gateway import scarcity
+from landingspool.decisions.gateway import pacing
 
 # Requests a second that a box sends to a target after its rest, at least: one
 # at a time goes there until the first is answered.
 RESTED_PER_S = 1.0
 
 
-class Room:
+class FreeCapacity:
     """What this box may send to targets with limits.
 
     Parameters
     ----------
     fleet : fleet.Fleet
-    bars : bars.Bars
+    bars : bars.Exclusions
     """
 
     def __init__(self, fleet, bars):
         self._fleet = fleet
         self._bars = bars
-        self._scarcity = scarcity.Scarcity()
+        self._scarcity = pacing.Scarcity()
 
     def record(self, work, now):
         """Note that a request has come."""
@@ -33,7 +33,7 @@
 
     def take(self, work, table, now):
         """Tell whether a request may have some of the room that is scarce."""
-        limits = self._bars.find_limits(work, table)
+        limits = self._bars.get_requirements(work, table)
         known = self._fleet.list_service(work.service)
         entries = self._bars.list_limited(known, limits, now)
         room_per_s = self._measure(entries, now)
@@ -41,7 +41,7 @@
             work.service, work.route.priority, room_per_s, now
         )
 
-    def find_return(self, work, table, left_s, now):
+    def compute_retry_after(self, work, table, left_s, now):
         """Give the seconds after which a refused caller finds room.
 
         The first rest or limit to end says when, and the callers of this box
@@ -54,7 +54,7 @@
         left_s : float
             Seconds for which the caller waits.
         """
-        limits = self._bars.find_limits(work, table)
+        limits = self._bars.get_requirements(work, table)
         known = self._fleet.list_service(work.service)
         entries = self._bars.list_passing(known, limits, now)
         room_per_s = self._measure(entries, now)
--- a/landingspool/decisions/gateway/choice.py
+++ b/landingspool/decisions/gateway/choice.py
@@ -91,7 +91,7 @@
 class Candidate(typing.NamedTuple):
     """One target as the choice sees it.
 
-    `kept` are the tokens of the prompt that it need not read, `saved` those
+    `cached` are the tokens of the prompt that it need not read, `saved` those
     that stores hold, `fetched_s` the seconds that these take to come.
     `handicap_s` puts it behind the others; `capacity` is its memory in
     tokens, 0 where it is not known; `cold_s` is how much longer it is slow.
@@ -102,7 +102,7 @@
     entry: typing.Any
     load: Load
     health: health_module.Health
-    kept: int = 0
+    cached: int = 0
     saved: int = 0
     fetched_s: float = 0.0
     handicap_s: float = 0.0
@@ -128,7 +128,7 @@
 
     entry: typing.Any
     expected_s: float
-    kept: int
+    cached: int
     candidates: int
     wait_s: float = 0.0
 
@@ -170,7 +170,9 @@
         best = min(scored)
     seconds, _, candidate = best
     wait = expect_wait(candidate)
-    return Chosen(candidate.entry, seconds, candidate.kept, len(usable), wait)
+    return Chosen(
+        candidate.entry, seconds, candidate.cached, len(usable), wait
+    )
 
 
 def list_usable(candidates, now, patience_s):
@@ -214,8 +216,8 @@
         busy /= slots
         seconds = PLAIN_WORK_S * (1.0 + busy)
     else:
-        kept = max(candidate.kept, candidate.saved)
-        read = prompts.count_read(prompt, kept)
+        cached = max(candidate.cached, candidate.saved)
+        read = prompts.count_read(prompt, cached)
         seconds = read / prompts.READ_TOKENS_S + candidate.fetched_s
         seconds += expect_wait(candidate)
     # Some routes fail by themselves; only what a target does worse counts.
--- a/landingspool/decisions/gateway/coldness.py
+++ b/landingspool/decisions/gateway/cold_targets.py
@@ -63,7 +63,7 @@
     return shares_module.Quota(boxes, requests, WINDOW_S)
 
 
-class Coldness:
+class ColdTargets:
     """The cold targets.
 
     Parameters
@@ -80,7 +80,7 @@
         self._slack = slack
         self._until = {}
 
-    def record_told(self, name, cold_s, now):
+    def record_reported(self, name, cold_s, now):
         """Take in how much longer a target says that it is cold."""
         if cold_s > 0:
             self._extend(name, now + cold_s)
@@ -99,9 +99,9 @@
     def find_left(self, name, now):
         """Give the seconds for which a target still counts as cold.
 
-        >>> coldness = Coldness(shares_module.Shares(), 1.5, 5.0)
-        >>> coldness.record_told('t', 2.0, 10.0)
-        >>> coldness.find_left('t', 11.5), coldness.find_left('t', 12.0)
+        >>> cold_targets = ColdTargets(shares_module.Shares(), 1.5, 5.0)
+        >>> cold_targets.record_reported('t', 2.0, 10.0)
+        >>> cold_targets.find_left('t', 11.5), cold_targets.find_left('t', 12.0)
         (0.5, 0.0)
         """
         until = self._until.get(name)
--- a/landingspool/decisions/gateway/warmth.py
+++ b/landingspool/decisions/gateway/context_index.py
@@ -33,7 +33,7 @@
 # Tokens that a store gives room for at a time (the users' page of the
 # system: memory goes by blocks of 16 tokens).
 BLOCK_TOKENS = 16
-# Life and place told by a box that knows nothing of a store; no life has
+# Incarnation and place told by a box that knows nothing of a store; no life has
 # this number, so it is sent the whole list.
 UNKNOWN = -1, -1
 
@@ -46,7 +46,7 @@
     tokens: int
 
 
-class Unwhole(typing.NamedTuple):
+class IncompletePart(typing.NamedTuple):
     """A part that is being written, or that broke off: `room` is taken."""
 
     space: str
@@ -55,7 +55,7 @@
     room: int
 
 
-class Index(typing.NamedTuple):
+class CacheContents(typing.NamedTuple):
     """What one target or store keeps.
 
     Attributes
@@ -64,7 +64,7 @@
         Its life; None before it was heard.
     next : int
         Where the next call for events begins.
-    kept : dict of tuple to int
+    cached : dict of tuple to int
         Tokens by (namespace, part name).
     confirmed : float
         When the newest answer was asked for, on this box's clock.
@@ -76,30 +76,30 @@
         Tokens of room that the kept parts take, as of the newest answer.
     batches : tuple of tuple
         The newest changes, each with the `next` that they led to.
-    unwhole : tuple of Unwhole
+    incomplete : tuple of IncompletePart
         Of the newest whole list.
-    beyond : int
+    extra : int
         Tokens of room that were taken beside `used` at the last count.
     """
 
     epoch: int | None
     next: int
-    kept: dict
+    cached: dict
     confirmed: float
     first_seen: float
     clock_ms: float | None = None
     used: int = 0
     batches: tuple = ()
-    unwhole: tuple = ()
-    beyond: int = 0
+    incomplete: tuple = ()
+    extra: int = 0
 
     @property
     def taken(self):
         """Tokens of room that are taken, as far as is known."""
-        return self.used + self.beyond
+        return self.used + self.extra
 
 
-class News(typing.NamedTuple):
+class CacheUpdate(typing.NamedTuple):
     """An answer to a call for events, or a whole list (`whole`).
 
     `age_s` is how long ago the target or store was asked, where another box
@@ -113,23 +113,23 @@
     whole: bool = False
     clock_ms: float | None = None
     age_s: float = 0.0
-    unwhole: tuple[Unwhole, ...] = ()
+    incomplete: tuple[IncompletePart, ...] = ()
 
 
-class Warmth:
+class ContextIndex:
     """The directory of one box."""
 
     def __init__(self):
         self._indexes = {}
 
     def get(self, name):
-        """Give the Index of a target or store, or None."""
+        """Give the CacheContents of a target or store, or None."""
         return self._indexes.get(name)
 
-    def kept(self, name):
+    def cached(self, name):
         """Give what a target is believed to keep, by (space, part)."""
         index = self._indexes.get(name)
-        return index.kept if index is not None else {}
+        return index.cached if index is not None else {}
 
     def forget(self, name):
         """Forget a target or store that has gone."""
@@ -150,21 +150,21 @@
             # Overtaken on its way: parts that it tells of may be gone.
             return False
         if fresh:
-            index = Index(news.epoch, news.next, {}, now, now)
+            index = CacheContents(news.epoch, news.next, {}, now, now)
         changes = find_missed(index, news) if news.whole else news.changes
-        kept = index.kept
+        cached = index.cached
         for change in changes:
-            apply_change(kept, change)
-        trim(kept)
+            apply_change(cached, change)
+        trim(cached)
         self._indexes[name] = index._replace(
             next=news.next,
             confirmed=sent - news.age_s,
             # A list tells no clock, and what is offered needs one.
             clock_ms=news.clock_ms,
-            used=sum(map(count_room, kept.values())),
+            used=sum(map(count_room, cached.values())),
             batches=add_batch(() if fresh else index.batches, news, changes),
-            unwhole=news.unwhole if news.whole else index.unwhole,
-            beyond=count_unwhole(news) if news.whole else index.beyond,
+            incomplete=news.incomplete if news.whole else index.incomplete,
+            extra=count_unwhole(news) if news.whole else index.extra,
         )
         return not news.whole and (news.lost or fresh)
 
@@ -176,15 +176,15 @@
         epoch : int
             The store's life then.
         taken : int
-            Tokens, as Index.taken.
+            Tokens, as CacheContents.taken.
         """
         index = self._indexes.get(name)
         if index is None or index.epoch != epoch:
             return
-        beyond = max(taken - index.used, 0)
-        self._indexes[name] = index._replace(beyond=beyond)
+        extra = max(taken - index.used, 0)
+        self._indexes[name] = index._replace(extra=extra)
 
-    def forget_unwhole(self, name, parts):
+    def forget_incomplete(self, name, parts):
         """Note that unwhole parts of a store were freed.
 
         Parameters
@@ -194,12 +194,14 @@
         """
         index = self._indexes[name]
         left = tuple(
-            row for row in index.unwhole if (row.space, row.part) not in parts
+            row
+            for row in index.incomplete
+            if (row.space, row.part) not in parts
         )
-        beyond = sum(row.room for row in left)
-        self._indexes[name] = index._replace(unwhole=left, beyond=beyond)
+        extra = sum(row.room for row in left)
+        self._indexes[name] = index._replace(incomplete=left, extra=extra)
 
-    def get_place(self, name):
+    def get_position(self, name):
         """Give the life and the place up to which all is known here."""
         index = self._indexes.get(name)
         if index is None or index.epoch is None:
@@ -211,7 +213,7 @@
 
         Returns
         -------
-        News or None
+        CacheUpdate or None
             `lost` where the changes do not reach back so far: the list is
             then to be had from the store, whose link is wider than ours.
         """
@@ -221,7 +223,7 @@
         changes = None
         if index.epoch == epoch:
             changes = find_changes(index, since)
-        return News(
+        return CacheUpdate(
             epoch=index.epoch,
             next=index.next,
             lost=changes is None,
@@ -234,10 +236,10 @@
         """Note that a target has read parts for a request of ours."""
         index = self._indexes.get(name)
         if index is None:
-            index = Index(None, 0, {}, now, now)
+            index = CacheContents(None, 0, {}, now, now)
             self._indexes[name] = index
         for part in parts:
-            index.kept[(space, part.name)] = part.tokens
+            index.cached[(space, part.name)] = part.tokens
 
     def may_fetch(self, name, now):
         """Tell whether parts of a store may be offered at `now`."""
@@ -265,25 +267,25 @@
 
 def count_unwhole(news):
     """Give the tokens of room that unwhole parts of a list take."""
-    return sum(row.room for row in news.unwhole)
+    return sum(row.room for row in news.incomplete)
 
 
 def find_missed(index, news):
     """Give the changes that lead from what is known to a whole list.
 
-    >>> index = Index(1, 9, {('s', 'a'): 5, ('s', 'b'): 5}, 0, 0)
+    >>> index = CacheContents(1, 9, {('s', 'a'): 5, ('s', 'b'): 5}, 0, 0)
     >>> listed = Change('s', 'b', 5), Change('s', 'c', 7)
-    >>> for change in find_missed(index, News(1, 9, False, listed, True)):
+    >>> for change in find_missed(index, CacheUpdate(1, 9, False, listed, True)):
     ...     print(change)
     Change(space='s', part='a', tokens=0)
     Change(space='s', part='c', tokens=7)
     """
     listed = {(row.space, row.part): row.tokens for row in news.changes}
-    gone = [Change(*key, 0) for key in index.kept if key not in listed]
+    gone = [Change(*key, 0) for key in index.cached if key not in listed]
     new = [
         row
         for row in news.changes
-        if index.kept.get((row.space, row.part)) != row.tokens
+        if index.cached.get((row.space, row.part)) != row.tokens
     ]
     return (*gone, *new)
 
@@ -302,7 +304,7 @@
 def find_changes(index, since):
     """Give the changes after `since`; None where they are gone.
 
-    >>> index = Index(1, 9, {}, 0, 0, batches=((5, ()), (9, ('x',))))
+    >>> index = CacheContents(1, 9, {}, 0, 0, batches=((5, ()), (9, ('x',))))
     >>> find_changes(index, 5), find_changes(index, 9)
     (('x',), ())
     >>> find_changes(index, 4) is None
@@ -321,16 +323,16 @@
     return tuple(change for changes in after for change in changes)
 
 
-def apply_change(kept, change):
+def apply_change(cached, change):
     """Apply one event to the map of what is kept, in place."""
     key = change.space, change.part
     if change.tokens > 0:
-        kept[key] = change.tokens
+        cached[key] = change.tokens
     else:
-        kept.pop(key, None)
+        cached.pop(key, None)
 
 
-def trim(kept):
+def trim(cached):
     """Drop the names that were noted first where there are too many."""
-    while len(kept) > MOST_NAMES:
-        kept.pop(next(iter(kept)))
+    while len(cached) > MOST_NAMES:
+        cached.pop(next(iter(cached)))
--- a/landingspool/decisions/gateway/endings.py
+++ b/landingspool/decisions/gateway/crashes.py
@@ -18,8 +18,8 @@
 import math
 
 from landingspool.decisions.gateway import bounded
-from landingspool.decisions.gateway import neighbours
-from landingspool.decisions.gateway import rumors
+from landingspool.decisions.gateway import peer_digests
+from landingspool.decisions.gateway import gossip
 
 # Targets that may end under a request: the users' rule names the third, and
 # an innocent request is seldom at three that end (of 230 arrivals lost at 13
@@ -54,7 +54,7 @@
     UNDER_WAY = 'suspect_under_way'
 
 
-class Endings:
+class Crashes:
     """The ends that a box has seen or heard of.
 
     Attributes
@@ -75,7 +75,7 @@
         self._void = collections.OrderedDict()
         self._under_way = collections.Counter()
         self._pending = []
-        self._rumors = rumors.Rumors()
+        self._rumors = gossip.Rumors()
         self._digests = 0
 
     def record_sent(self, fingerprint):
@@ -96,18 +96,18 @@
         name : str
             Of the target's life.
 
-        >>> endings = Endings()
+        >>> endings = Crashes()
         >>> for name in ('a', 'b', 'b'):
         ...     endings.record_lost(b'f', name, 1.0)
-        >>> endings.find_bar(b'f', 2.0) is None
+        >>> endings.get_quarantine(b'f', 2.0) is None
         True
         >>> endings.record_lost(b'f', 'c', 2.0)
-        >>> endings.find_bar(b'f', 2.0), endings.fresh
+        >>> endings.get_quarantine(b'f', 2.0), endings.fresh
         (<Bar.ENDED: 'ended_targets'>, [b'f'])
         """
-        self._add(fingerprint, neighbours.code_target(name), now, now)
+        self._add(fingerprint, peer_digests.hash_target(name), now, now)
 
-    def record_silent(self, fingerprint, name, now):
+    def record_unanswered(self, fingerprint, name, now):
         """Note that no answer came, for whatever reason.
 
         It counts if the target's end is known soon after.
@@ -115,19 +115,19 @@
         self._pending = [
             row for row in self._pending if now - row[2] < PENDING_S
         ]
-        code = neighbours.code_target(name)
+        code = peer_digests.hash_target(name)
         self._pending.append((fingerprint, code, now))
 
     def record_over(self, name, now):
         """Take in that a target has ended, as its entry tells.
 
-        >>> endings = Endings()
-        >>> endings.record_silent(b'f', 'a', 1.0)
+        >>> endings = Crashes()
+        >>> endings.record_unanswered(b'f', 'a', 1.0)
         >>> endings.record_over('a', 3.0)
         >>> endings.count(b'f', 3.0)
         1
         """
-        code = neighbours.code_target(name)
+        code = peer_digests.hash_target(name)
         for fingerprint, life, at in self._pending:
             if life == code and now - at < PENDING_S:
                 self._add(fingerprint, life, at, now)
@@ -138,13 +138,13 @@
 
         What it broke off shortly before, it did not break off by ending.
 
-        >>> endings = Endings()
+        >>> endings = Crashes()
         >>> endings.record_lost(b'f', 'a', 1.0)
         >>> endings.record_alive('a', 1.5)
         >>> endings.count(b'f', 2.0)
         0
         """
-        life = neighbours.code_target(name)
+        life = peer_digests.hash_target(name)
         self._alive[life] = max(sent, self._alive.get(life, sent))
         self._alive.move_to_end(life)
         bounded.trim(self._alive, MOST_MARKS)
@@ -160,26 +160,28 @@
         """Note that a request was answered whole, here."""
         if fingerprint in self._marks:
             self._clear(fingerprint, now)
-            self._rumors.put(fingerprint, neighbours.NO_LIFE, now)
+            self._rumors.put(fingerprint, peer_digests.NO_INCARNATION, now)
 
     def take(self, word, now):
         """Take in a word of another box; what is new is told on.
 
-        >>> endings = Endings()
+        >>> endings = Crashes()
         >>> for life in (7, 8, 9):
-        ...     endings.take(neighbours.CrashNotice(b'f', life, 100), 5.0)
-        >>> endings.find_bar(b'f', 5.0) is Bar.ENDED
+        ...     endings.take(peer_digests.CrashNotice(b'f', life, 100), 5.0)
+        >>> endings.get_quarantine(b'f', 5.0) is Bar.ENDED
         True
-        >>> served = neighbours.CrashNotice(b'f', neighbours.NO_LIFE, 0)
+        >>> served = peer_digests.CrashNotice(b'f', peer_digests.NO_INCARNATION, 0)
         >>> endings.take(served, 5.0)
-        >>> endings.find_bar(b'f', 5.0), endings.lifted
+        >>> endings.get_quarantine(b'f', 5.0), endings.lifted
         (None, [b'f'])
         """
         at = now - word.age_ms / 1000
-        if word.life == neighbours.NO_LIFE:
+        if word.life == peer_digests.NO_INCARNATION:
             if at > self._served.get(word.fingerprint, -math.inf) + SAME_S:
                 self._clear(word.fingerprint, at)
-                self._rumors.put(word.fingerprint, neighbours.NO_LIFE, at)
+                self._rumors.put(
+                    word.fingerprint, peer_digests.NO_INCARNATION, at
+                )
             return
         self._add(word.fingerprint, word.life, at, now)
 
@@ -190,19 +192,19 @@
             return 0
         return sum(1 for at in ends.values() if now - at < REMEMBERED_S)
 
-    def find_bar(self, fingerprint, now):
+    def get_quarantine(self, fingerprint, now):
         """Give why a request may not be sent now; None: it may.
 
         From the second end on one at a time is sent by this box.  From the
         first on would refuse the innocent: of 24 callers who asked for the
         same, some got a 503 since one connection had broken.
 
-        >>> endings = Endings()
+        >>> endings = Crashes()
         >>> endings.record_sent(b'f')
         >>> endings.record_lost(b'f', 'a', 1.0)
-        >>> endings.find_bar(b'f', 1.0)
+        >>> endings.get_quarantine(b'f', 1.0)
         >>> endings.record_lost(b'f', 'b', 1.0)
-        >>> endings.find_bar(b'f', 1.0)
+        >>> endings.get_quarantine(b'f', 1.0)
         <Bar.UNDER_WAY: 'suspect_under_way'>
         """
         ends = self.count(fingerprint, now)
@@ -223,7 +225,7 @@
         """List what is known of a request, as words."""
         ends = self._marks.get(fingerprint, {})
         return [
-            rumors.make_notice(fingerprint, life, at, now)
+            gossip.make_notice(fingerprint, life, at, now)
             for life, at in ends.items()
         ]
 
@@ -240,7 +242,7 @@
             for word in self.list_notices(fingerprint, now)
         ]
 
-    def list_barred(self, now):
+    def list_quarantined(self, now):
         """List the fingerprints of which no more is sent."""
         return [f for f in self._marks if self.count(f, now) >= MOST_ENDS]
 
@@ -256,7 +258,7 @@
         return tuple(words)
 
     def _tell_again(self, now):
-        barred = self.list_barred(now)
+        barred = self.list_quarantined(now)
         if not barred:
             return []
         turn = self._digests // AGAIN_EVERY % len(barred)
--- a/landingspool/decisions/gateway/partition.py
+++ b/landingspool/decisions/gateway/engine_split.py
@@ -55,7 +55,7 @@
 SHORT_BUSY = 1.4
 
 
-class Partition:
+class EngineSplit:
     """The tokens that come in long and in short readings, as a box sees.
 
     Attributes
@@ -97,7 +97,7 @@
     def find_share(self):
         """Give the share of tokens in long readings; None: too few known.
 
-        >>> partition = Partition()
+        >>> partition = EngineSplit()
         >>> partition.record(40_000, 1.0)
         >>> partition.record(1_000, 1.0)
         >>> round(partition.find_share(), 2)
--- a/landingspool/decisions/gateway/bars.py
+++ b/landingspool/decisions/gateway/exclusions.py
@@ -8,12 +8,12 @@
 
 import typing
 
-from landingspool.decisions.gateway import coldness as coldness_module
+from landingspool.decisions.gateway import cold_targets as cold_targets_module
 from landingspool.decisions.gateway import evacuation
-from landingspool.decisions.gateway import homes
+from landingspool.decisions.gateway import allowed_regions
 from landingspool.decisions.gateway import leaving as leaving_module
 from landingspool.decisions.gateway import limits as limits_module
-from landingspool.decisions.gateway import rests as rests_module
+from landingspool.decisions.gateway import backoffs as backoffs_module
 from landingspool.decisions.gateway import shares as shares_module
 
 
@@ -22,9 +22,9 @@
 # What forbids a target that has said that it leaves.
 LEAVING = 'leaving'
 # What forbids a target that has asked this box for rest.
-RESTING = 'resting'
+BACKING_OFF = 'resting'
 # Of these bars it is known when they end: callers are told when to return.
-PASSING = (LIMITED, RESTING)
+PASSING = (LIMITED, BACKING_OFF)
 
 
 class Limits(typing.NamedTuple):
@@ -35,10 +35,10 @@
     """
 
     regions: frozenset | None
-    cold: coldness_module.Bound
+    cold: cold_targets_module.Bound
 
 
-class Bars:
+class Exclusions:
     """The bars as one box knows them.
 
     Parameters
@@ -54,30 +54,30 @@
         self.regions = regions
         self.evacuation = evacuation.Evacuation()
         self.shares = shares_module.Shares()
-        self.coldness = coldness_module.Coldness(
+        self.cold_targets = cold_targets_module.ColdTargets(
             self.shares, bounds.cold_over, bounds.cold_slack
         )
         self.limits = limits_module.Limits(self.shares)
         self.leaving = leaving_module.Leaving()
-        self.rests = rests_module.Rests(rng)
+        self.backoffs = backoffs_module.Backoffs(rng)
 
-    def find_limits(self, work, table):
+    def get_requirements(self, work, table):
         """Give the Limits of a request."""
         return Limits(
-            homes.find_regions(work.route, work.tenancy),
+            allowed_regions.get_allowed_regions(work.route, work.tenancy),
             find_bound(table, work.service),
         )
 
-    def find_bar(self, entry, limits, now):
+    def get_exclusion(self, entry, limits, now):
         """Give what forbids that a target gets a request; None: nothing."""
         bar = self._find_lasting(entry, limits)
         if bar is not None:
             return bar
         # For as long as it asked: kept away from like a sick one for half a
         # second, one that asked for 3 s got 9 requests in them.
-        if not self.rests.may_send(entry.name, now):
-            return RESTING
-        if not self.coldness.may_send(entry.name, limits.cold, now):
+        if not self.backoffs.may_send(entry.name, now):
+            return BACKING_OFF
+        if not self.cold_targets.may_send(entry.name, limits.cold, now):
             return 'cold'
         # What a target takes is bounded over all boxes: a box that went by
         # its own sends alone sent each target seven times as much.
@@ -87,7 +87,9 @@
 
     def _find_lasting(self, entry, limits):
         """Give what forbids it whatever was sent there before."""
-        if not homes.is_home(entry.domain, limits.regions, self.regions):
+        if not allowed_regions.is_domain_allowed(
+            entry.domain, limits.regions, self.regions
+        ):
             return 'no_home'
         if self.evacuation.holds(entry.domain):
             return 'evacuated'
@@ -99,7 +101,7 @@
 
     def may_call(self, entry, now):
         """Tell whether calls beside the requests may go to a target."""
-        resting = self.rests.is_resting(entry.name, now)
+        resting = self.backoffs.is_resting(entry.name, now)
         return not resting and not self.is_closed(entry)
 
     def is_closed(self, entry):
@@ -112,7 +114,7 @@
         return [
             entry
             for entry in self.list_passing(entries, limits, now)
-            if self.rests.may_send(entry.name, now)
+            if self.backoffs.may_send(entry.name, now)
         ]
 
     def list_passing(self, entries, limits, now):
@@ -123,7 +125,7 @@
             if self._find_lasting(entry, limits) is None
             and (
                 self.limits.find(entry.name) is not None
-                or not self.rests.may_send(entry.name, now)
+                or not self.backoffs.may_send(entry.name, now)
             )
         ]
 
@@ -132,7 +134,7 @@
 
         None where the box has no permit of the target's limit.
         """
-        rest_s = self.rests.find_wait(name, now)
+        rest_s = self.backoffs.find_wait(name, now)
         if self.limits.find(name) is None:
             return rest_s
         limit_s = self.limits.find_wait(name, now)
@@ -141,15 +143,17 @@
     def record_sent(self, name, now):
         """Note that a request goes to a target."""
         self.shares.record_sent(name, now)
-        self.rests.record_sent(name, now)
+        self.backoffs.record_sent(name, now)
 
     def list_open(self, entries, limits, now):
         """List the entries that nothing forbids."""
-        return [e for e in entries if self.find_bar(e, limits, now) is None]
+        return [
+            e for e in entries if self.get_exclusion(e, limits, now) is None
+        ]
 
     def find_lack(self, entries, limits, now):
         """Give why no target may get a request, but for those that it had."""
-        bars = {self.find_bar(entry, limits, now) for entry in entries}
+        bars = {self.get_exclusion(entry, limits, now) for entry in entries}
         bars.discard(None)
         for bar in PASSING:
             if bar in bars:
@@ -158,11 +162,13 @@
 
     def list_keepers(self, work, table):
         """Give the stores, by address, in which its context may be kept."""
-        regions = homes.find_regions(work.route, work.tenancy)
+        regions = allowed_regions.get_allowed_regions(work.route, work.tenancy)
         return {
-            address: keeper
-            for address, keeper in table.keepers.items()
-            if homes.is_home(keeper.domain, regions, self.regions)
+            address: context_store
+            for address, context_store in table.context_stores.items()
+            if allowed_regions.is_domain_allowed(
+                context_store.domain, regions, self.regions
+            )
         }
 
     def withdraw_evacuation(self, domain, entries, table, now):
@@ -187,16 +193,16 @@
         lapsed may come back in the same life, and does not say them again.
         """
         self.shares.forget(name)
-        self.coldness.forget(name)
+        self.cold_targets.forget(name)
         self.limits.forget(name)
 
     def record_back(self, entry, table, now):
         """Note that a target's path or domain came back."""
         bound = find_bound(table, entry.service)
-        self.coldness.record_back(entry.name, bound, now)
+        self.cold_targets.record_back(entry.name, bound, now)
 
 
 def find_bound(table, service):
     """Give what the targets of a service bear while they are cold."""
     known = table.services.get(service) if table is not None else None
-    return known.cold if known else coldness_module.Bound()
+    return known.cold if known else cold_targets_module.Bound()
--- a/landingspool/decisions/gateway/fingerprints.py
+++ b/landingspool/decisions/gateway/fingerprints.py
@@ -16,7 +16,7 @@
 LENGTH_BYTES = 4
 
 
-def take_fingerprint(workspace, path, body):
+def compute_fingerprint(workspace, path, body):
     """Give the fingerprint of a request.
 
     The workspace is a part of it, and each field stands behind its length: no
@@ -34,10 +34,10 @@
     -------
     bytes
 
-    >>> one = take_fingerprint('w', '/a', b'b')
-    >>> len(one), one == take_fingerprint('w', '/a', b'b')
+    >>> one = compute_fingerprint('w', '/a', b'b')
+    >>> len(one), one == compute_fingerprint('w', '/a', b'b')
     (12, True)
-    >>> one == take_fingerprint('w/a', '', b'b')
+    >>> one == compute_fingerprint('w/a', '', b'b')
     False
     """
     digest = hashlib.blake2b(digest_size=SIZE, person=PURPOSE)
--- a/landingspool/decisions/gateway/fleet.py
+++ b/landingspool/decisions/gateway/fleet.py
@@ -16,17 +16,17 @@
 READY = 'ready'
 DRAINING = 'draining'
 # An entry of a life that is over: a later one of the same id is known.
-OVER = 'over'
+SUPERSEDED = 'over'
 
 # Seconds after the list's return within which a living target is back on
 # it (the users' letter: about two), and less than the two seconds after
 # which nothing new may reach a target that is gone.
 GRACE_S = 1.8
 # Between the id and the start in the name of a life; no id holds it.
-LIFE_SIGN = '@'
+INCARNATION_SEPARATOR = '@'
 
 
-class Life(typing.NamedTuple):
+class Incarnation(typing.NamedTuple):
     """One start of a target.
 
     Attributes
@@ -45,22 +45,22 @@
     def name(self):
         """The name under which all beliefs about this life are kept.
 
-        >>> Life('t', 1700).name, Life('t').name
+        >>> Incarnation('t', 1700).name, Incarnation('t').name
         ('t@1700', 't')
         """
         if not self.born:
             return self.target
-        return f'{self.target}{LIFE_SIGN}{self.born}'
+        return f'{self.target}{INCARNATION_SEPARATOR}{self.born}'
 
 
-def read_life(name):
-    """Give the Life of a name.
+def parse_incarnation(name):
+    """Give the Incarnation of a name.
 
-    >>> read_life('t@1700'), read_life('t')
-    (Life(target='t', born=1700), Life(target='t', born=0))
+    >>> parse_incarnation('t@1700'), parse_incarnation('t')
+    (Incarnation(target='t', born=1700), Incarnation(target='t', born=0))
     """
-    target, _, born = name.partition(LIFE_SIGN)
-    return Life(target, int(born or 0))
+    target, _, born = name.partition(INCARNATION_SEPARATOR)
+    return Incarnation(target, int(born or 0))
 
 
 class Entry(typing.NamedTuple):
@@ -69,7 +69,7 @@
     Attributes
     ----------
     name : str
-        Of its life (Life.name).
+        Of its life (Incarnation.name).
     versions : dict of str to int
         The version of the weights that it runs, by model.
     cold_s : float
@@ -88,7 +88,7 @@
     @property
     def target(self):
         """The target's id, by which it knows itself."""
-        return read_life(self.name).target
+        return parse_incarnation(self.name).target
 
 
 class Fleet:
@@ -109,18 +109,18 @@
         self._drained = set()
         self._versions = {}
 
-    def find_life(self, target):
+    def get_incarnation(self, target):
         """Give the name of the newest life of a target; None: unknown."""
         life = self._lives.get(target)
         return life.name if life is not None else None
 
-    def list_lives(self):
+    def list_incarnations(self):
         """List the names of the newest lives, also of those that are over."""
         return [life.name for life in self._lives.values()]
 
     def list_targets(self):
         """List the ids of the targets that may get new work."""
-        return [read_life(name).target for name in self.entries]
+        return [parse_incarnation(name).target for name in self.entries]
 
     def put(self, entry):
         """Take in an entry; returns the state that holds from now on.
@@ -129,8 +129,8 @@
         may have been cut off) counts again when it says that it is ready.
         The entry of an earlier life than is known changes nothing.
         """
-        if not self._begin_life(read_life(entry.name)):
-            return OVER
+        if not self._begin_life(parse_incarnation(entry.name)):
+            return SUPERSEDED
         self.lapsed.pop(entry.name, None)
         if entry.name in self._drained:
             return DRAINING
--- a/landingspool/decisions/gateway/freshness.py
+++ b/landingspool/decisions/gateway/freshness.py
@@ -52,10 +52,10 @@
         """
         return round(min(self.age(now), UNKNOWN_LOGGED_S), 2)
 
-    def age_to_tell(self, now):
+    def age_to_send(self, now):
         """Give the age as messages to other boxes carry it.
 
-        >>> Proof(5.0).age_to_tell(1.0)
+        >>> Proof(5.0).age_to_send(1.0)
         9000.0
         """
         return min(self.age(now), UNKNOWN_TOLD_S)
--- a/landingspool/decisions/gateway/leftovers.py
+++ b/landingspool/decisions/gateway/garbage.py
@@ -9,21 +9,21 @@
 can tell it from one that is being written but by its not growing.
 """
 
-from landingspool.decisions.gateway import warmth as warmth_module
+from landingspool.decisions.gateway import context_index as index_module
 
 # Seconds after all targets were first seen on newer weights: the lease of the
 # last offers, and the time for which a box may not have heard yet.
-FREE_AFTER_S = warmth_module.LEASE_S + 2.0
+FREE_AFTER_S = index_module.LEASE_S + 2.0
 # Seconds for which a part that is not whole has to stay as it is before it
 # is freed: a write takes tenths of a second, and seconds over slow links.
-BROKEN_S = 5.0
+INCOMPLETE_S = 5.0
 # Parts freed by one call: some ten kilobytes, over links of 5 Mbit/s.
 MOST_PARTS = 1000
 # Seconds within which a call for it has to arrive.
-ARRIVE_S = 1.0
+CALL_TIMEOUT_S = 1.0
 
 
-def find_least(model, fleet, services):
+def get_oldest_version(model, fleet, services):
     """Give the oldest version that any target of a model has, or None.
 
     Parameters
@@ -51,7 +51,7 @@
     return not head and version.isdecimal() and int(version) < least
 
 
-class Leftovers:
+class OldestVersions:
     """Knows since when which weights are the oldest in use."""
 
     def __init__(self):
@@ -65,7 +65,7 @@
         int or None
             The version before which all may be freed now.
 
-        >>> leftovers = Leftovers()
+        >>> leftovers = OldestVersions()
         >>> leftovers.record('m', 2, 10.0)
         >>> leftovers.record('m', 2, 20.0)
         2
@@ -78,22 +78,22 @@
         return least if now - known[1] >= FREE_AFTER_S else None
 
 
-def list_old(kept, model, least):
+def list_stale(cached, model, least):
     """List the (namespace, part name) that are kept of old weights.
 
     Parameters
     ----------
-    kept : dict of tuple to int
-        As in warmth.Index.
+    cached : dict of tuple to int
+        As in warmth.CacheContents.
 
-    >>> list_old({('m.1', 'a'): 5, ('m.2', 'a'): 5}, 'm', 2)
+    >>> list_stale({('m.1', 'a'): 5, ('m.2', 'a'): 5}, 'm', 2)
     [('m.1', 'a')]
     """
-    old = [key for key in kept if is_old(key[0], model, least)]
+    old = [key for key in cached if is_old(key[0], model, least)]
     return old[:MOST_PARTS]
 
 
-class Broken:
+class IncompleteParts:
     """Knows since when the unwhole parts of each store have not grown."""
 
     def __init__(self):
@@ -104,7 +104,7 @@
 
         Parameters
         ----------
-        index : warmth.Index
+        index : warmth.CacheContents
             With that list in it.
 
         Returns
@@ -112,25 +112,25 @@
         list of tuple of str
             The (namespace, part name) that may be freed now.
 
-        >>> row = warmth_module.Unwhole('s', 'a', 100, 800)
-        >>> index = warmth_module.Index(1, 0, {}, 0, 0, unwhole=(row,))
-        >>> broken = Broken()
+        >>> row = index_module.IncompletePart('s', 'a', 100, 800)
+        >>> index = index_module.CacheContents(1, 0, {}, 0, 0, incomplete=(row,))
+        >>> broken = IncompleteParts()
         >>> broken.record('k', index, 10.0)
         []
-        >>> broken.record('k', index, 10.0 + BROKEN_S)
+        >>> broken.record('k', index, 10.0 + INCOMPLETE_S)
         [('s', 'a')]
-        >>> grown = index._replace(unwhole=(row._replace(tokens=300),))
+        >>> grown = index._replace(incomplete=(row._replace(tokens=300),))
         >>> broken.record('k', grown, 30.0)
         []
         """
         known = self._since.get(store, {})
         rows = {
             (index.epoch, row): known.get((index.epoch, row), now)
-            for row in index.unwhole
+            for row in index.incomplete
         }
         self._since[store] = rows
         return [
             (row.space, row.part)
             for (_, row), since in rows.items()
-            if now - since >= BROKEN_S
+            if now - since >= INCOMPLETE_S
         ]
--- a/landingspool/decisions/gateway/rumors.py
+++ b/landingspool/decisions/gateway/gossip.py
@@ -5,7 +5,7 @@
 it reaches all boxes where each digest reaches only some.
 """
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 
 # Notices in one digest: 23 bytes each, so that it stays in one packet.
 MOST_TOLD = 40
@@ -62,4 +62,4 @@
 def make_notice(fingerprint, life, at, now):
     """Give the word of what happened at `at`."""
     age_ms = max(int((now - at) * 1000), 0)
-    return neighbours.CrashNotice(fingerprint, life, age_ms)
+    return peer_digests.CrashNotice(fingerprint, life, age_ms)
--- a/landingspool/decisions/gateway/lateness.py
+++ b/landingspool/decisions/gateway/latency.py
@@ -37,7 +37,7 @@
     at: float
 
 
-class Lateness:
+class LatencyTracker:
     """The averages of all services, as one box sees them."""
 
     def __init__(self):
@@ -61,14 +61,14 @@
     def measure(self, service, now):
         """Give how full the targets are; 1: as much as they can do in time.
 
-        >>> lateness = Lateness()
-        >>> lateness.measure('s', 0.0)
+        >>> latency = LatencyTracker()
+        >>> latency.measure('s', 0.0)
         0.0
         >>> for n in range(40):
-        ...     lateness.record_first('s', 1.3, 1.0, n / 10)
-        >>> round(lateness.measure('s', 4.0), 2)
+        ...     latency.record_first('s', 1.3, 1.0, n / 10)
+        >>> round(latency.measure('s', 4.0), 2)
         1.3
-        >>> round(lateness.measure('s', 5.9), 2)
+        >>> round(latency.measure('s', 5.9), 2)
         0.65
         """
         return self._find_ratio(service, now) / FULL_RATIO
--- a/landingspool/decisions/gateway/leaving.py
+++ b/landingspool/decisions/gateway/leaving.py
@@ -13,7 +13,7 @@
 import typing
 
 from landingspool.decisions.gateway import bounded
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 
 # Lives of which the word is kept: more than leave while any box is up, but
 # for the longest lives.
@@ -33,7 +33,7 @@
     Attributes
     ----------
     life : int
-        Its code (neighbours.code_target).
+        Its code (neighbours.hash_target).
     heard : float
         When the answer came that said so.
     box : str
@@ -62,7 +62,7 @@
         self._known = collections.OrderedDict()
         self._digests = 0
 
-    def record_told(self, name, now):
+    def record_reported(self, name, now):
         """Take in that an answer of a target said so.
 
         Parameters
@@ -71,11 +71,11 @@
             Of the target's life.
 
         >>> leaving = Leaving()
-        >>> leaving.record_told('t', 1.0)
+        >>> leaving.record_reported('t', 1.0)
         >>> leaving.holds('t'), leaving.holds('u')
         (True, False)
         """
-        self._put(Known(neighbours.code_target(name), now))
+        self._put(Known(peer_digests.hash_target(name), now))
 
     def take(self, word, box, now):
         """Take in what another box tells.
@@ -88,7 +88,7 @@
 
     def record_over(self, name):
         """Note that a life is over; its word stays, it may only seem so."""
-        life = neighbours.code_target(name)
+        life = peer_digests.hash_target(name)
         known = self._known.get(life)
         if known is not None and not known.is_over:
             self._known[life] = known._replace(is_over=True)
@@ -96,17 +96,17 @@
 
     def holds(self, name):
         """Tell whether a target has said that it leaves."""
-        return neighbours.code_target(name) in self._known
+        return peer_digests.hash_target(name) in self._known
 
     def find(self, name):
         """Give the Known word of a life; None where there is none."""
-        return self._known.get(neighbours.code_target(name))
+        return self._known.get(peer_digests.hash_target(name))
 
     def tell(self, now):
         """Give the words for the next digest.
 
         >>> leaving = Leaving()
-        >>> leaving.record_told('t', 1.0)
+        >>> leaving.record_reported('t', 1.0)
         >>> [len(leaving.tell(at)) for at in (1.1, 2.1, 2.3, 2.5, 2.7, 70.0)]
         [1, 0, 0, 0, 1, 0]
         """
@@ -138,4 +138,4 @@
 def make_notice(known, now):
     """Give the neighbours.LeavingNotice of a Known."""
     age_ms = max(int((now - known.heard) * 1000), 0)
-    return neighbours.LeavingNotice(known.life, age_ms)
+    return peer_digests.LeavingNotice(known.life, age_ms)
--- a/landingspool/decisions/gateway/limits.py
+++ b/landingspool/decisions/gateway/limits.py
@@ -21,7 +21,7 @@
 import typing
 
 from landingspool.decisions.gateway import bounded
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import shares as shares_module
 
 # Seconds of the window in which the users count what arrives: one and a half
@@ -82,7 +82,7 @@
 class Change(typing.NamedTuple):
     """A figure that is new, for the log.
 
-    `life` is the code of the target's life (neighbours.code_target).
+    `life` is the code of the target's life (neighbours.hash_target).
     """
 
     life: int
@@ -125,7 +125,7 @@
         (1.8, None)
         """
         word = Known(per_s, asked, heard, heard)
-        self._put(neighbours.code_target(name), word)
+        self._put(peer_digests.hash_target(name), word)
 
     def record_unnamed(self, name, asked, heard):
         """Take in an answer that named none.
@@ -140,7 +140,7 @@
         >>> limits.record_unnamed('t', 1.15, 1.3)
         >>> limits.find('t')
         """
-        life = neighbours.code_target(name)
+        life = peer_digests.hash_target(name)
         if life in self._known:
             self._put(life, Known(NO_LIMIT, asked, heard, heard))
 
@@ -184,7 +184,7 @@
 
     def find(self, name):
         """Give the Known limit of a target; None where it names none."""
-        known = self._known.get(neighbours.code_target(name))
+        known = self._known.get(peer_digests.hash_target(name))
         return known if known is not None and known.per_s else None
 
     def list_named(self, names):
@@ -213,7 +213,7 @@
         permits = self._shares.count_permits(name, quota, now)
         return permits * quota.requests / quota.window_s
 
-    def find_used(self, name, now):
+    def compute_used_rate(self, name, now):
         """Give the requests a second that this box sent a target of late."""
         return len(self._shares.list_sent(name, WINDOW_S, now)) / WINDOW_S
 
@@ -229,7 +229,7 @@
 
     def forget(self, name):
         """Forget a life that is over."""
-        self._known.pop(neighbours.code_target(name), None)
+        self._known.pop(peer_digests.hash_target(name), None)
 
     def _put(self, life, word, travel_s=0.0):
         known = self._known.get(life)
@@ -309,7 +309,7 @@
     asked_ms, heard_ms = (
         max(int((now - at) * 1000), 0) for at in (known.asked, known.heard)
     )
-    return neighbours.LimitNotice(life, known.per_s, asked_ms, heard_ms)
+    return peer_digests.LimitNotice(life, known.per_s, asked_ms, heard_ms)
 
 
 def find_open(known, now):
--- a/landingspool/decisions/gateway/loads.py
+++ b/landingspool/decisions/gateway/loads.py
@@ -68,7 +68,7 @@
         if not at_target:
             del self._sent[target]
 
-    def record_heard(self, target, now):
+    def record_received(self, target, now):
         """Note that a target sent something."""
         self._heard[target] = now
 
@@ -97,7 +97,7 @@
         Parameters
         ----------
         others : tuple of float
-            What other boxes have there, as neighbours.Neighbours.get_load.
+            What other boxes have there, as neighbours.PeerDigests.get_load.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
--- a/landingspool/decisions/gateway/neighbours.py
+++ b/landingspool/decisions/gateway/peer_digests.py
@@ -23,7 +23,7 @@
 # near boxes have under way is like what any others have.
 FAN_OUT_NEAR = 18
 # Stands for the target in the word that a request was answered whole.
-NO_LIFE = 0
+NO_INCARNATION = 0
 # Loads of a target of which no digest tells.
 NOTHING = 0, 0, 0, 0
 
@@ -36,7 +36,7 @@
     fingerprint : bytes
         Of the request.
     life : int
-        Code of the life that ended (code_target); NO_LIFE: the request was
+        Code of the life that ended (hash_target); NO_INCARNATION: the request was
         answered whole.
     age_ms : int
         Milliseconds since then.
@@ -53,7 +53,7 @@
     Attributes
     ----------
     life : int
-        Code of the target's life (code_target).
+        Code of the target's life (hash_target).
     per_s : float
         Requests a second from all boxes; 0: it names no limit any more.
     asked_ms, heard_ms : int
@@ -72,7 +72,7 @@
     Attributes
     ----------
     life : int
-        Code of the target's life (code_target).
+        Code of the target's life (hash_target).
     age_ms : int
         Milliseconds since it said so.
     """
@@ -146,7 +146,7 @@
 
 
 @functools.lru_cache(maxsize=4096)
-def code_target(name):
+def hash_target(name):
     """Give the number by which digests name a target's life.
 
     A name takes 14 bytes, or 28 with the start of a life, and a digest some
@@ -155,13 +155,13 @@
     Two targets with one number, once in millions of deployments, would be
     taken to have what both have.
 
-    >>> 0 <= code_target('t') < 2 ** 32
+    >>> 0 <= hash_target('t') < 2 ** 32
     True
     """
     return xxhash.xxh32_intdigest(name.encode())
 
 
-def code_loads(loads):
+def hash_loads(loads):
     """Give what a box has at each target as digests tell it.
 
     Parameters
@@ -169,10 +169,10 @@
     loads : dict of str to list
         By the name of the target's life.
     """
-    return {code_target(name): load for name, load in loads.items()}
+    return {hash_target(name): load for name, load in loads.items()}
 
 
-def pick_told(near, far, rng):
+def pick_recipients(near, far, rng):
     """Pick the boxes that a digest is sent to.
 
     Parameters
@@ -183,9 +183,9 @@
 
     >>> import random
     >>> rng = random.Random(1)
-    >>> sorted(pick_told('ab', 'cd', rng))
+    >>> sorted(pick_recipients('ab', 'cd', rng))
     ['a', 'b', 'c', 'd']
-    >>> told = pick_told(['n'] * 30, ['f'] * 60, rng)
+    >>> told = pick_recipients(['n'] * 30, ['f'] * 60, rng)
     >>> told.count('n'), told.count('f')
     (18, 6)
     """
@@ -196,7 +196,7 @@
     return some_near + rng.sample(far, min(len(far), left))
 
 
-class Neighbours:
+class PeerDigests:
     """The other boxes as this one has heard of them."""
 
     def __init__(self):
@@ -219,17 +219,17 @@
     def exclude_stall(self, seconds):
         """Leave out seconds for which this box did not run.
 
-        >>> neighbours = Neighbours()
+        >>> neighbours = PeerDigests()
         >>> neighbours.take(Digest('b', 'd', 1, {}), 1.0)
         >>> neighbours.exclude_stall(6.0)
-        >>> neighbours.list_heard(7.5)
+        >>> neighbours.list_fresh_peers(7.5)
         ['b']
         """
         for box, row in self._heard.items():
             self._heard[box] = row._replace(at=row.at + seconds)
         self._summed = None
 
-    def list_heard(self, now):
+    def list_fresh_peers(self, now):
         """List the names of the boxes heard of shortly before `now`."""
         return [box for box, row in self._heard.items() if row.is_fresh(now)]
 
@@ -249,8 +249,8 @@
             As in the digests: tokens waiting, requests running, tokens
             held, requests waiting.
 
-        >>> neighbours = Neighbours()
-        >>> loads = code_loads({'t': [1, 2, 9, 3]})
+        >>> neighbours = PeerDigests()
+        >>> loads = hash_loads({'t': [1, 2, 9, 3]})
         >>> neighbours.take(Digest('b', 'd', 1, loads), 1.0)
         >>> neighbours.get_load('t', {'d': 1}, 1.5)
         (1.0, 2.0, 9.0, 3.0)
@@ -264,7 +264,7 @@
             return tuple(map(float, NOTHING))
         boxes = sum(counts.get(domain, 0) for domain in self._domains_heard)
         scale = max(boxes / self._sums_heard, 1.0)
-        sums = self._sums.get(code_target(target), NOTHING)
+        sums = self._sums.get(hash_target(target), NOTHING)
         return tuple(n * scale for n in sums)
 
     def _sum(self, now):
--- a/landingspool/decisions/gateway/plans.py
+++ b/landingspool/decisions/gateway/plans.py
@@ -29,7 +29,7 @@
         Rank of the target: the expected seconds to its first byte.
     wait_s : float
         The part of it that is spent behind other requests.
-    kept : int
+    cached : int
         Tokens of the prompt believed to be kept there.
     read_tokens : int
         Prompt tokens that the target has to read.
@@ -43,7 +43,7 @@
     pressure : float
         How short targets are: the requests at all candidates by the places
         that these have, or how late they answer, by what is aimed at.
-    is_scarce : bool
+    all_limited : bool
         Whether all targets that it might go to name limits.
     held : choice.Held
         Memory that requests hold at all candidates.
@@ -52,7 +52,7 @@
     entry: fleet_module.Entry
     expected_s: float
     wait_s: float
-    kept: int
+    cached: int
     read_tokens: int
     candidates: int
     version: int | None
@@ -60,7 +60,7 @@
     transfer: transfers.Transfer
     pressure: float = 0.0
     held: choice.Held = choice.Held(0.0, 0.0)
-    is_scarce: bool = False
+    all_limited: bool = False
 
 
 def count_held(work):
--- a/landingspool/decisions/gateway/prompts.py
+++ b/landingspool/decisions/gateway/prompts.py
@@ -55,15 +55,15 @@
     return prompt.parts[:-1]
 
 
-def count_kept(prompt, space, kept):
-    """Count the leading tokens that `kept` holds whole.
+def count_kept(prompt, space, cached):
+    """Count the leading tokens that `cached` holds whole.
 
     A part helps only if every part before it is there too.
 
     Parameters
     ----------
     space : str
-    kept : dict of tuple to int
+    cached : dict of tuple to int
         Tokens by (namespace, part name).
 
     >>> prompt = Prompt('m', 30, 5, (Part('a', 10), Part('b', 20)))
@@ -74,7 +74,7 @@
     """
     total = 0
     for part in prompt.parts:
-        held = min(kept.get((space, part.name), 0), part.tokens)
+        held = min(cached.get((space, part.name), 0), part.tokens)
         total += held
         if held < part.tokens:
             break
--- a/landingspool/decisions/gateway/reach.py
+++ b/landingspool/decisions/gateway/reachability.py
@@ -16,9 +16,9 @@
 MOST_RETRY_S = 2.0
 # Seconds for which a word of another box is not followed after this box saw
 # for itself: each look is a new connection, which has a price.
-SURE_S = 10.0
+CONFIRMED_S = 10.0
 # The same for a box that looks after the target for others.
-WATCHER_SURE_S = 1.0
+WATCHER_CONFIRMED_S = 1.0
 # Seconds to the next try where other boxes look after a target: they tell
 # when it is back, and this is for the case that nobody does.  In 15 s with 13
 # dark targets 195 boxes made 18,300 probes, and 9,500 since (played without a
@@ -44,7 +44,7 @@
     due: float
 
 
-class Reach:
+class Reachability:
     """The targets that are out, as one box sees them."""
 
     def __init__(self):
@@ -59,7 +59,7 @@
         watched : bool
             Whether other boxes look after it.
 
-        >>> reach = Reach()
+        >>> reach = Reachability()
         >>> reach.record_failed('a', 10.0)
         >>> reach.is_out('a'), reach.list_due(10.1), reach.list_due(10.4)
         (True, [], ['a'])
@@ -76,7 +76,7 @@
         self._out.pop(name, None)
         self._reached[name] = now
 
-    def suspect(self, name, now, sure_s=SURE_S):
+    def suspect(self, name, now, sure_s=CONFIRMED_S):
         """Take in that another box can't connect to a target.
 
         Parameters
@@ -84,7 +84,7 @@
         sure_s : float
             Seconds for which what this box saw for itself counts more.
 
-        >>> reach = Reach()
+        >>> reach = Reachability()
         >>> reach.record_reached('a', 9.0)
         >>> reach.suspect('a', 10.0)
         >>> reach.is_out('a')
@@ -98,14 +98,14 @@
         if now - self._reached.get(name, -sure_s) >= sure_s:
             self._out[name] = Out(0, now)
 
-    def hasten(self, name, now):
+    def expedite(self, name, now):
         """Take in that a target is back for another box.
 
-        >>> reach = Reach()
+        >>> reach = Reachability()
         >>> reach.record_failed('a', 10.0, watched=True)
         >>> reach.list_due(11.0)
         []
-        >>> reach.hasten('a', 11.0)
+        >>> reach.expedite('a', 11.0)
         >>> reach.list_due(11.0)
         ['a']
         """
@@ -128,7 +128,7 @@
     def list_told(self):
         """List the targets that other boxes are told of.
 
-        >>> reach = Reach()
+        >>> reach = Reachability()
         >>> reach.record_failed('a', 10.0)
         >>> reach.list_told()
         ()
--- a/landingspool/decisions/gateway/readers.py
+++ b/landingspool/decisions/gateway/readers.py
@@ -18,7 +18,7 @@
 # Boxes of a large domain that read: one may fail and the other goes on.
 READERS = 2
 # Boxes of a domain up to which each reads for itself.
-MOST_ALONE = 4
+MAX_DIRECT_READERS = 4
 # Seconds for which a reader that failed is not asked again.
 SHUN_S = 4.0
 # Seconds over two holds by which a reader's own word may be old: a sound one
@@ -132,7 +132,7 @@
         >>> readers.pick({'b': 5.0}, 0.0, 1.0) is None
         True
         """
-        if len(links) + 1 <= MOST_ALONE:
+        if len(links) + 1 <= MAX_DIRECT_READERS:
             return None
         # Where the first ones fail the next ones read for the others: if
         # all did, a store in trouble would be asked by every box.
--- a/landingspool/decisions/gateway/allowance.py
+++ b/landingspool/decisions/gateway/retry_budget.py
@@ -12,7 +12,7 @@
 USED = 0.8
 
 
-class Allowance:
+class RetryBudget:
     """Counts first sends and repeats of one service in a sliding window.
 
     Parameters
@@ -44,7 +44,7 @@
         boxes : int
             Boxes that may share the slack: the most that are believed in.
 
-        >>> allowance = Allowance(0.2, 5.0, 10.0)
+        >>> allowance = RetryBudget(0.2, 5.0, 10.0)
         >>> [allowance.take(0.0, 2) for _ in range(3)]
         [True, True, False]
         >>> allowance.take(11.0, 2)
--- a/landingspool/decisions/gateway/rollouts.py
+++ b/landingspool/decisions/gateway/rollouts.py
@@ -79,17 +79,17 @@
     return lease is not None and now - lease.since < lease.seconds - END_S
 
 
-def is_young(lease, now):
+def is_recent(lease, now):
     """Tell whether the lease need not be renewed yet.
 
     >>> lease = Lease(4, 10.0, 3.0)
-    >>> is_young(lease, 11.1), is_young(lease, 11.3)
+    >>> is_recent(lease, 11.1), is_recent(lease, 11.3)
     (True, False)
     """
     return now - lease.since < lease.seconds * RENEW_SHARE
 
 
-class Watch:
+class ClaimWatch:
     """Follows the claims on this box's clock.
 
     Parameters
@@ -118,7 +118,7 @@
     def may_claim(self, holder, now):
         """Tell whether the box `holder` may append a claim of its own.
 
-        >>> watch = Watch(3.0)
+        >>> watch = ClaimWatch(3.0)
         >>> watch.may_claim('a', 0.0)
         True
         >>> watch.record(Claim('b', 7), 1.0)
@@ -134,7 +134,7 @@
         return self._claim is not None and self._claim.holder == holder
 
 
-def find_turn(place):
+def compute_claim_delay(place):
     """Give the seconds for which a box leaves a free right to others.
 
     Parameters
@@ -142,7 +142,7 @@
     place : int
         Of the box in the hash order of all boxes.
 
-    >>> find_turn(0), find_turn(2), find_turn(194)
+    >>> compute_claim_delay(0), compute_claim_delay(2), compute_claim_delay(194)
     (0.0, 0.3, 2.0)
     """
     return min(place * TURN_S, MOST_TURN_S)
@@ -267,7 +267,7 @@
     return any(has < version for has in targets.values())
 
 
-def find_room(targets, left):
+def compute_concurrency(targets, left):
     """Give how many targets may be under way at once.
 
     As few as bring all to the new weights in time, since the others have to
@@ -282,11 +282,11 @@
     left : sequence of float
         For each that is behind, the seconds for which it may still be used.
 
-    >>> find_room(50, [12.0] * 50), find_room(50, [7.0] * 30)
+    >>> compute_concurrency(50, [12.0] * 50), compute_concurrency(50, [7.0] * 30)
     (10, 10)
-    >>> find_room(50, [4.0] * 10 + [9.0] * 40), find_room(50, [1.0] * 30)
+    >>> compute_concurrency(50, [4.0] * 10 + [9.0] * 40), compute_concurrency(50, [1.0] * 30)
     (12, 20)
-    >>> find_room(5, [9.0] * 5), find_room(5, [2.4] * 2), find_room(1, [9.0])
+    >>> compute_concurrency(5, [9.0] * 5), compute_concurrency(5, [2.4] * 2), compute_concurrency(1, [9.0])
     (1, 2, 1)
     """
     usual = int(targets * LOADS_SHARE)
--- a/landingspool/decisions/gateway/routes.py
+++ b/landingspool/decisions/gateway/routes.py
@@ -6,7 +6,7 @@
 
 import typing
 
-from landingspool.decisions.gateway import coldness
+from landingspool.decisions.gateway import cold_targets
 
 SAFE = 'safe'
 UNSAFE = 'unsafe'
@@ -82,7 +82,7 @@
     managed: bool
 
 
-class Keeper(typing.NamedTuple):
+class ContextStore(typing.NamedTuple):
     """A store of kept context.
 
     `first_s` is the wait before each transfer.
@@ -98,7 +98,7 @@
 
 
 class Service(typing.NamedTuple):
-    """Targets that are alike; `engine` or `keeper` is set for those kinds.
+    """Targets that are alike; `engine` or `context_store` is set for those kinds.
 
     `cold` is what they bear after a start.
     """
@@ -107,8 +107,8 @@
     health_path: str = ''
     max_connections: int = 64
     engine: Engine | None = None
-    keeper: Keeper | None = None
-    cold: coldness.Bound = coldness.Bound()
+    context_store: ContextStore | None = None
+    cold: cold_targets.Bound = cold_targets.Bound()
 
 
 class Tenancy(typing.NamedTuple):
@@ -144,7 +144,7 @@
         By API key; empty where no key is asked for.
     keyed : bool
         Whether requests need a key.
-    keepers : dict of str to Keeper
+    context_stores : dict of str to ContextStore
         The stores of kept context by the address that targets use.
     """
 
@@ -154,7 +154,7 @@
     keys: dict
     limits: Limits = Limits()
     keyed: bool = False
-    keepers: dict = {}
+    context_stores: dict = {}
 
 
 def make_table(version, routes, services, keys, limits, keyed):
@@ -173,22 +173,22 @@
     for route in sorted(routes, key=lambda r: -len(r.prefix)):
         hosts[route.host] = (*hosts.get(route.host, ()), route)
     named = {service.name: service for service in services}
-    keepers = {
-        service.keeper.address: service.keeper
+    context_stores = {
+        service.context_store.address: service.context_store
         for service in named.values()
-        if service.keeper is not None
+        if service.context_store is not None
     }
-    return Table(version, hosts, named, keys, limits, keyed, keepers)
+    return Table(version, hosts, named, keys, limits, keyed, context_stores)
 
 
-def find_route(table, host, path):
+def match_route(table, host, path):
     """Give the Route with the longest matching prefix, or None.
 
     >>> route = Route('r', 'h', '/a/', SAFE, 1, 1, 0, (Share('s', 1),))
     >>> table = make_table(1, [route], [], {}, Limits(), False)
-    >>> find_route(table, 'H:80', '/a/b?c').name
+    >>> match_route(table, 'H:80', '/a/b?c').name
     'r'
-    >>> find_route(table, 'h', '/ab') is None
+    >>> match_route(table, 'h', '/ab') is None
     True
     """
     name = host.rsplit(':', 1)[0].lower()
@@ -199,7 +199,7 @@
     return None
 
 
-def find_tenancy(table, route, key):
+def get_tenancy(table, route, key):
     """Give the workspace of a key.
 
     Returns
@@ -209,9 +209,9 @@
 
     >>> table = make_table(1, [], [], {'k': Tenancy('w')}, Limits(), True)
     >>> route = Route('r', 'h', '/a/', SAFE, 1, 1, 0, ())
-    >>> find_tenancy(table, route, 'k') == (Tenancy('w'), True)
+    >>> get_tenancy(table, route, 'k') == (Tenancy('w'), True)
     True
-    >>> find_tenancy(table, route, 'x')
+    >>> get_tenancy(table, route, 'x')
     (None, False)
     """
     tenancy = table.keys.get(key) if key else None
--- a/landingspool/decisions/gateway/transfers.py
+++ b/landingspool/decisions/gateway/transfers.py
@@ -1,13 +1,13 @@
 """Which parts of a prompt come from stores, and which are written there.
 
 A store frees nothing by itself and checks nothing: a part is offered only
-as `warmth` allows, and every offer ends with a time on the targets' clock.
+as `context_index` allows, and every offer ends with a time on the targets' clock.
 """
 
 import typing
 
 from landingspool.decisions.gateway import prompts
-from landingspool.decisions.gateway import warmth as warmth_module
+from landingspool.decisions.gateway import context_index as index_module
 from landingspool.decisions import ownership
 
 # Tokens under which a part is not worth a transfer: its wait (a miss costs
@@ -42,27 +42,31 @@
     seconds: float = 0.0
 
 
-def plan_transfer(prompt, space, keepers, warmth, token_bytes, now):
+def plan_transfer(
+    prompt, space, context_stores, context_index, token_bytes, now
+):
     """Plan the transfers of one request.
 
     Parameters
     ----------
-    keepers : dict of str to routes.Keeper
+    context_stores : dict of str to routes.ContextStore
         By address.
-    warmth : warmth.Warmth
+    context_index : warmth.ContextIndex
     token_bytes : int
     """
-    managed = {a: k for a, k in keepers.items() if k.managed}
-    readable = [a for a in managed if warmth.may_fetch(a, now)]
-    writable = [a for a in managed if warmth.may_save(a, now)]
+    managed = {a: k for a, k in context_stores.items() if k.managed}
+    readable = [a for a in managed if context_index.may_fetch(a, now)]
+    writable = [a for a in managed if context_index.may_save(a, now)]
     if not readable:
         return Transfer()
     fetch, save, used = [], [], set()
     tokens, seconds, leading = 0, 0.0, True
     for part in prompts.list_shared(prompt):
-        source = find_source(part, space, readable, managed, warmth)
+        source = find_source(part, space, readable, managed, context_index)
         target = (
-            '' if source else find_room(part, space, writable, managed, warmth)
+            ''
+            if source
+            else find_room(part, space, writable, managed, context_index)
         )
         fetch.append(source)
         save.append(target)
@@ -79,25 +83,28 @@
     return Transfer(
         tuple(fetch),
         tuple(save),
-        find_end(used, warmth),
+        find_end(used, context_index),
         tokens,
         seconds,
     )
 
 
-def find_source(part, space, readable, keepers, warmth):
+def find_source(part, space, readable, context_stores, context_index):
     """Give the fastest store that holds the whole part, or an empty text."""
     if part.tokens < LEAST_TOKENS:
         return ''
     holding = [
         address
         for address in readable
-        if warmth.kept(address).get((space, part.name), 0) >= part.tokens
+        if context_index.cached(address).get((space, part.name), 0)
+        >= part.tokens
     ]
-    return max(holding, key=lambda a: (keepers[a].link_mbps, a), default='')
+    return max(
+        holding, key=lambda a: (context_stores[a].link_mbps, a), default=''
+    )
 
 
-def find_room(part, space, writable, keepers, warmth):
+def find_room(part, space, writable, context_stores, context_index):
     """Give the store that a part is written to, or an empty text.
 
     All boxes agree on the order of stores for a part, so that one part is
@@ -108,29 +115,30 @@
     roomy = [
         address
         for address in writable
-        if warmth.get(address).taken + warmth_module.count_room(part.tokens)
-        < keepers[address].capacity_tokens * FILL_SHARE
+        if context_index.get(address).taken
+        + index_module.count_room(part.tokens)
+        < context_stores[address].capacity_tokens * FILL_SHARE
     ]
     if not roomy:
         return ''
     return ownership.rank(f'{space}/{part.name}', tuple(sorted(roomy)))[0]
 
 
-def find_end(addresses, warmth):
+def find_end(addresses, context_index):
     """Give when offers from these stores end, on the targets' clock."""
-    clocks = [warmth.get(address).clock_ms for address in addresses]
+    clocks = [context_index.get(address).clock_ms for address in addresses]
     if not clocks:
         return None
-    return min(clocks) + warmth_module.LEASE_S * 1000
+    return min(clocks) + index_module.LEASE_S * 1000
 
 
-def find_seconds(tokens, keeper, token_bytes):
+def find_seconds(tokens, context_store, token_bytes):
     """Give the seconds that a transfer takes on an idle link.
 
     >>> from landingspool.decisions.gateway import routes
-    >>> keeper = routes.Keeper('a:1', 'd', 9000, 800.0, 1, True, 0.001)
-    >>> find_seconds(1000, keeper, 100)
+    >>> context_store = routes.ContextStore('a:1', 'd', 9000, 800.0, 1, True, 0.001)
+    >>> find_seconds(1000, context_store, 100)
     0.002
     """
     bits = tokens * token_bytes * 8
-    return keeper.first_s + bits / (keeper.link_mbps * MEGABIT)
+    return context_store.first_s + bits / (context_store.link_mbps * MEGABIT)
--- a/landingspool/decisions/gateway/view.py
+++ b/landingspool/decisions/gateway/view.py
@@ -7,29 +7,29 @@
 import random
 
 from landingspool.decisions.gateway import admission
-from landingspool.decisions.gateway import allowance
-from landingspool.decisions.gateway import bars
+from landingspool.decisions.gateway import retry_budget
+from landingspool.decisions.gateway import exclusions
 from landingspool.decisions.gateway import choice
-from landingspool.decisions.gateway import endings as endings_module
+from landingspool.decisions.gateway import crashes as crashes_module
 from landingspool.decisions.gateway import fleet as fleet_module
 from landingspool.decisions.gateway import freshness
 from landingspool.decisions.gateway import health as health_module
-from landingspool.decisions.gateway import lateness
+from landingspool.decisions.gateway import latency
 from landingspool.decisions.gateway import loads as loads_module
-from landingspool.decisions.gateway import neighbours
-from landingspool.decisions.gateway import partition as partition_module
+from landingspool.decisions.gateway import peer_digests
+from landingspool.decisions.gateway import engine_split as partition_module
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import prompts
-from landingspool.decisions.gateway import reach as reach_module
-from landingspool.decisions.gateway import room as room_module
+from landingspool.decisions.gateway import reachability as reachability_module
+from landingspool.decisions.gateway import capacity as capacity_module
 from landingspool.decisions.gateway import transfers
-from landingspool.decisions.gateway import warmth as warmth_module
-from landingspool.decisions.gateway import watching as watching_module
+from landingspool.decisions.gateway import context_index as index_module
+from landingspool.decisions.gateway import watchers as watchers_module
 from landingspool.decisions.gateway import weights as weights_module
 
 # Boxes that the retry budget is divided by at least: today's deployments
 # have six and seven, and may replace one.
-USUAL_BOXES = 8
+MIN_BOXES = 8
 # Seconds without a byte after which a target with a waiting request is
 # taken for silent: engines answer within some hundred ms, plain services
 # within 220 at most.
@@ -63,21 +63,21 @@
         self.table = None
         self.fleet = fleet_module.Fleet()
         self.loads = loads_module.Loads()
-        self.lateness = lateness.Lateness()
+        self.latency = latency.LatencyTracker()
         self.weights = weights_module.Weights(bounds.version_s)
-        self.reach = reach_module.Reach()
-        self.watching = watching_module.Watching()
-        self.partition = partition_module.Partition()
-        self.bars = bars.Bars(bounds, regions or {}, self.rng)
-        self.room = room_module.Room(self.fleet, self.bars)
-        self.warmth = warmth_module.Warmth()
+        self.reach = reachability_module.Reachability()
+        self.watching = watchers_module.Watchers()
+        self.engine_split = partition_module.EngineSplit()
+        self.bars = exclusions.Exclusions(bounds, regions or {}, self.rng)
+        self.room = capacity_module.FreeCapacity(self.fleet, self.bars)
+        self.context_index = index_module.ContextIndex()
         self.proof = freshness.Proof(bounds.key_s, bounds.keys_fail_closed)
-        self.neighbours = neighbours.Neighbours()
-        self.endings = endings_module.Endings()
-        self.boxes = USUAL_BOXES
+        self.neighbours = peer_digests.PeerDigests()
+        self.endings = crashes_module.Crashes()
+        self.boxes = MIN_BOXES
         # Other boxes, by domain.
-        self.others = {}
-        # Life and tokens taken of each store that this box counted.
+        self.peers_by_domain = {}
+        # Incarnation and tokens taken of each store that this box counted.
         self.rooms = {}
         self._health = {}
         self._allowances = {}
@@ -91,13 +91,13 @@
 
     def put_entry(self, entry, now):
         """Take in what a target says; gives the state that holds."""
-        before = self.fleet.find_life(entry.target)
+        before = self.fleet.get_incarnation(entry.target)
         state = self.fleet.put(entry)
-        if state == fleet_module.OVER:
+        if state == fleet_module.SUPERSEDED:
             return state
         if before not in (None, entry.name):
             self.record_over(before, now)
-        self.bars.coldness.record_told(entry.name, entry.cold_s, now)
+        self.bars.cold_targets.record_reported(entry.name, entry.cold_s, now)
         return state
 
     def withdraw_evacuation(self, domain, now):
@@ -116,7 +116,7 @@
         """List the names of the published services."""
         return tuple(self.table.services) if self.table is not None else ()
 
-    def list_ordered(self, model):
+    def list_loadable(self, model):
         """List the entries of a model's targets that may get orders."""
         return [
             entry
@@ -128,18 +128,18 @@
         """Tell whether a request may be sent to a target at this moment."""
         if entry.name not in self.fleet.entries:
             return False
-        limits = self.bars.find_limits(work, self.table)
-        return self.bars.find_bar(entry, limits, now) is None
+        limits = self.bars.get_requirements(work, self.table)
+        return self.bars.get_exclusion(entry, limits, now) is None
 
-    def has_open(self, work, now):
+    def has_available(self, work, now):
         """Tell whether nothing forbids some target of a request's service."""
-        limits = self.bars.find_limits(work, self.table)
+        limits = self.bars.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
         return bool(self.bars.list_open(entries, limits, now))
 
     def find_lack(self, work, now):
-        """Give why no target may get a request, as bars.Bars.find_lack."""
-        limits = self.bars.find_limits(work, self.table)
+        """Give why no target may get a request, as bars.Exclusions.find_lack."""
+        limits = self.bars.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
         return self.bars.find_lack(entries, limits, now)
 
@@ -181,10 +181,12 @@
         plan = self._make_plan(chosen, work, now, transfers_by_space)
         pressure = max(
             choice.measure_pressure(candidates),
-            self.lateness.measure(work.service, now),
+            self.latency.measure(work.service, now),
+        )
+        all_limited = all(c.limited for c in candidates)
+        return plan._replace(
+            pressure=pressure, held=held, all_limited=all_limited
         )
-        is_scarce = all(c.limited for c in candidates)
-        return plan._replace(pressure=pressure, held=held, is_scarce=is_scarce)
 
     def _narrow(self, candidates, work, held):
         """Keep the engines for readings of a request's size, among sound ones.
@@ -194,20 +196,20 @@
         if work.prompt is None or not candidates:
             return candidates
         taken, places = choice.count_taken(candidates)
-        self.partition.record_room(
+        self.engine_split.record_room(
             partition_module.measure_room(taken, places, len(candidates)),
             held.share,
         )
         saved = max(candidate.saved for candidate in candidates)
         read = prompts.count_read(work.prompt, saved)
-        names = self.partition.pick(read, [c.entry for c in candidates])
+        names = self.engine_split.pick(read, [c.entry for c in candidates])
         if names is None:
             return candidates
         limit_s = work.route.target_latency_s * OVERFLOW_SHARE
-        kept = [c for c in candidates if c.entry.name in names]
-        if all(choice.expect_wait(c) > limit_s for c in kept):
+        cached = [c for c in candidates if c.entry.name in names]
+        if all(choice.expect_wait(c) > limit_s for c in cached):
             return candidates
-        return kept
+        return cached
 
     def is_admitted(self, plan, work):
         """Tell whether a request should be sent on as planned."""
@@ -230,16 +232,16 @@
             work.route.priority,
         )
 
-    def find_lag(self, name, model, now):
+    def get_lag(self, name, model, now):
         """Give the seconds since the first version that a target missed."""
         has = self.fleet.get_version(name, model)
-        return self.weights.find_lag(model, has, now)
+        return self.weights.get_lag(model, has, now)
 
-    def find_time_left(self, name, model, now):
+    def get_time_left(self, name, model, now):
         """Give the seconds for which a target's weights may be used."""
-        return self.weights.most_lag_s - self.find_lag(name, model, now)
+        return self.weights.most_lag_s - self.get_lag(name, model, now)
 
-    def find_kept(self, service):
+    def get_connection_limit(self, service):
         """Give how many connections to one target this box may keep.
 
         All boxes together keep half of what a target accepts, so that new
@@ -256,7 +258,7 @@
         if work.prompt is not None:
             tokens = plan.read_tokens
             stored = prompts.count_read(work.prompt, plan.transfer.tokens)
-            self.partition.record(stored, now)
+            self.engine_split.record(stored, now)
             held = plans.count_held(work)
         sent = loads_module.Sent(now, tokens, False, held)
         self.loads.record_sent(plan.entry.name, work.name, sent)
@@ -268,7 +270,7 @@
         if name not in self.fleet.entries:
             # What a life that is over sends says nothing of the next one.
             return
-        self.loads.record_heard(name, now)
+        self.loads.record_received(name, now)
         self.reach.record_reached(name, now)
         sent = self.loads.record_first(name, work.name)
         if sent is not None:
@@ -276,10 +278,10 @@
         if sent is None or work.prompt is None:
             return
         aim_s = work.route.target_latency_s
-        self.lateness.record_first(work.service, now - sent.at, aim_s, now)
+        self.latency.record_first(work.service, now - sent.at, aim_s, now)
         if plan.space:
             parts = prompts.list_shared(work.prompt)
-            self.warmth.add_read(name, plan.space, parts, now)
+            self.context_index.add_read(name, plan.space, parts, now)
 
     def record_answer(self, plan, wait_s, failed):
         """Learn from an answer of a target.
@@ -305,8 +307,10 @@
     def take_digest(self, digest, now):
         """Take in what another box has under way, and what it found out."""
         self.neighbours.take(digest, now)
-        for name in self.watching.hear(digest.box, digest.unreached, now):
-            self.reach.hasten(name, now)
+        for name in self.watching.receive_report(
+            digest.box, digest.unreached, now
+        ):
+            self.reach.expedite(name, now)
         for name in digest.unreached:
             if name in self.fleet.entries:
                 self._suspect(name, now)
@@ -317,11 +321,15 @@
         for word in digest.leaving:
             self.bars.leaving.take(word, digest.box, now)
         for store, counted in digest.rooms.items():
-            self.warmth.record_taken(store, *counted)
+            self.context_index.record_taken(store, *counted)
 
     def _suspect(self, name, now):
         duty = self.watching.is_duty(name)
-        sure_s = reach_module.WATCHER_SURE_S if duty else reach_module.SURE_S
+        sure_s = (
+            reachability_module.WATCHER_CONFIRMED_S
+            if duty
+            else reachability_module.CONFIRMED_S
+        )
         self.reach.suspect(name, now, sure_s)
 
     def record_unreached(self, name, now):
@@ -358,14 +366,14 @@
         self._health.pop(name, None)
         self.loads.forget(name)
         self.reach.forget(name)
-        self.warmth.forget(name)
+        self.context_index.forget(name)
         self.bars.forget(name)
 
     def _get_allowance(self, service):
         known = self._allowances.get(service)
         if known is None:
             bounds = self.bounds
-            known = allowance.Allowance(
+            known = retry_budget.RetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
             )
             self._allowances[service] = known
@@ -373,7 +381,7 @@
 
     def _list_usable(self, work, avoid, now):
         """List the entries of the targets that a request may be sent to."""
-        limits = self.bars.find_limits(work, self.table)
+        limits = self.bars.get_requirements(work, self.table)
         known = self.fleet.list_service(work.service)
         known = [entry for entry in known if entry.name not in avoid]
         entries = self.bars.list_open(known, limits, now)
@@ -394,15 +402,17 @@
         return [
             entry
             for entry in idle or entries
-            if self.find_lag(entry.name, prompt.model, now)
+            if self.get_lag(entry.name, prompt.model, now)
             < self.weights.most_lag_s
         ]
 
     def _weigh(self, entry, work, now, transfers_by_space):
-        others = self.neighbours.get_load(entry.name, self.others, now)
-        load = self.loads.measure(entry.name, others)
+        peers_by_domain = self.neighbours.get_load(
+            entry.name, self.peers_by_domain, now
+        )
+        load = self.loads.measure(entry.name, peers_by_domain)
         health = self.get_health(entry.name)
-        cold_s = self.bars.coldness.find_left(entry.name, now)
+        cold_s = self.bars.cold_targets.find_left(entry.name, now)
         limited = self.bars.limits.find(entry.name) is not None
         if work.prompt is None:
             return choice.Candidate(
@@ -410,8 +420,8 @@
             )
         version = self.fleet.get_version(entry.name, work.prompt.model)
         space = prompts.name_space(work.prompt.model, version, work.tenancy)
-        kept = prompts.count_kept(
-            work.prompt, space, self.warmth.kept(entry.name)
+        cached = prompts.count_kept(
+            work.prompt, space, self.context_index.cached(entry.name)
         )
         transfer = transfers_by_space.get(space)
         if transfer is None:
@@ -421,11 +431,11 @@
             entry,
             load,
             health,
-            kept,
+            cached,
             transfer.tokens,
             transfer.seconds,
             weights_module.find_handicap(
-                self.find_lag(entry.name, work.prompt.model, now)
+                self.get_lag(entry.name, work.prompt.model, now)
             ),
             self._find_capacity(work.service),
             cold_s=cold_s,
@@ -445,13 +455,13 @@
             version, space = self._find_space(chosen.entry.name, work, now)
             if version is not None:
                 transfer = transfers_by_space[space]
-            kept = max(chosen.kept, transfer.tokens)
-            read = prompts.count_read(work.prompt, kept)
+            cached = max(chosen.cached, transfer.tokens)
+            read = prompts.count_read(work.prompt, cached)
         return plans.Plan(
             chosen.entry,
             chosen.expected_s,
             chosen.wait_s,
-            chosen.kept,
+            chosen.cached,
             read,
             chosen.candidates,
             version,
@@ -485,7 +495,7 @@
             work.prompt,
             space,
             self.bars.list_keepers(work, self.table),
-            self.warmth,
+            self.context_index,
             service.engine.token_bytes,
             now,
         )
--- a/landingspool/decisions/gateway/watching.py
+++ b/landingspool/decisions/gateway/watchers.py
@@ -25,7 +25,7 @@
     at: float
 
 
-class Watching:
+class Watchers:
     """The duties of the boxes of one domain, as one of them sees them."""
 
     def __init__(self):
@@ -38,7 +38,7 @@
         self._box = box
         self._members = tuple(sorted((*near, box)))
 
-    def hear(self, box, unreached, now):
+    def receive_report(self, box, unreached, now):
         """Take in which targets another box can't reach.
 
         Returns
@@ -46,10 +46,10 @@
         frozenset of str
             Targets that it looks after and reaches again.
 
-        >>> watching = Watching()
+        >>> watching = Watchers()
         >>> watching.set_members('a', 'bcdef')
         >>> first, second = watching.list_watchers('t')
-        >>> watching.hear(first, ('t',), 1.0), watching.hear(first, (), 1.2)
+        >>> watching.receive_report(first, ('t',), 1.0), watching.receive_report(first, (), 1.2)
         (frozenset(), frozenset({'t'}))
         """
         known = self._words.get(box)
@@ -67,7 +67,7 @@
 
     def list_watchers(self, target):
         """List the boxes that look after a target; empty: each for itself."""
-        if len(self._members) <= readers.MOST_ALONE:
+        if len(self._members) <= readers.MAX_DIRECT_READERS:
             return ()
         return ownership.rank(target, self._members)[:WATCHERS]
 
@@ -78,14 +78,14 @@
     def is_watched(self, target, now):
         """Tell whether others look after a target and find it dark.
 
-        >>> watching = Watching()
+        >>> watching = Watchers()
         >>> watching.set_members('a', 'bcdef')
         >>> names = [f't{n}' for n in range(20)]
         >>> name = next(n for n in names if not watching.is_duty(n))
         >>> watching.is_watched(name, 1.0)
         False
         >>> watcher = watching.list_watchers(name)[0]
-        >>> _ = watching.hear(watcher, (name,), 1.0)
+        >>> _ = watching.receive_report(watcher, (name,), 1.0)
         >>> watching.is_watched(name, 1.5), watching.is_watched(name, 2.5)
         (True, False)
         """
--- a/landingspool/decisions/gateway/weights.py
+++ b/landingspool/decisions/gateway/weights.py
@@ -77,7 +77,7 @@
         named = self.named.get(model)
         return named is not None and (version or 0) < named.version
 
-    def find_lag(self, model, has, now):
+    def get_lag(self, model, has, now):
         """Give the seconds since the first version that a target missed.
 
         Parameters
@@ -88,7 +88,7 @@
         >>> weights = Weights(12.0)
         >>> for version in 1, 2, 3:
         ...     _ = weights.put_version('m', version, 10.0 * version)
-        >>> weights.find_lag('m', 1, 34.0), weights.find_lag('m', 3, 34.0)
+        >>> weights.get_lag('m', 1, 34.0), weights.get_lag('m', 3, 34.0)
         (14.0, 0.0)
         """
         named = self.named.get(model)
--- a/landingspool/events.py
+++ b/landingspool/events.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from landingspool.decisions import clock
-from landingspool import kinds
+from landingspool import event_kinds
 
 RING_EVENTS = 4096
 
@@ -60,7 +60,7 @@
 
     def record(self, name, **fields):
         """Record the event `name` of the catalogue; returns it."""
-        kind = kinds.CATALOGUE[name]
+        kind = event_kinds.CATALOGUE[name]
         self._stamp = clock.advance(self._stamp, self._wall())
         event = Event(self._stamp, self.box, kind.number, name, fields)
         self._ring.append(event)
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -9,7 +9,7 @@
 from landingspool.gateway import outcomes
 from landingspool.gateway import stream as stream_module
 from landingspool.gateway import upstream as upstream_module
-from landingspool import patience
+from landingspool import timeouts
 from landingspool.platform import answers
 from landingspool.platform import egress
 
@@ -36,7 +36,7 @@
     ----------
     hub
         The box's parts: `view`, `upstream`, `prober`, `heartbeat`, `recorder`,
-        `metrics`, `hearing`, `marks`, `clock`, `timer`.
+        `metrics`, `target_notices`, `crash_records`, `clock`, `timer`.
     state : request_state.RequestState
         The request; the attempt updates it.
     plan : view.Plan
@@ -57,7 +57,7 @@
             self._exchange = await self._hub.upstream.open(
                 self._plan.entry.address,
                 routes.may_repeat(self._state.work.route),
-                self._view.find_kept(self._state.work.service),
+                self._view.get_connection_limit(self._state.work.service),
             )
         except upstream_module.ExchangeError as error:
             reason = str(error)
@@ -82,7 +82,7 @@
 
     def _get_quarantine(self, now):
         endings = self._view.endings
-        return endings.find_bar(self._state.fingerprint, now)
+        return endings.get_quarantine(self._state.fingerprint, now)
 
     async def _send_and_receive(self):
         outcome = outcomes.Lost('stopped', outcomes.Cause.STOPPED)
@@ -140,8 +140,8 @@
             if outcome.cause == outcomes.Cause.CLOSED:
                 endings.record_lost(fingerprint, name, now)
             elif outcome.cause in outcomes.UNANSWERED:
-                endings.record_silent(fingerprint, name, now)
-        self._hub.marks.look()
+                endings.record_unanswered(fingerprint, name, now)
+        self._hub.crash_records.check()
 
     def _log_loss(self, outcome):
         self._hub.metrics.losses.labels(outcome.cause).inc()
@@ -184,7 +184,7 @@
     async def _receive(self):
         """Read the answer before the request's deadline; return an outcome."""
         try:
-            async with patience.Limit(self._compute_timeout()):
+            async with timeouts.Timeout(self._compute_timeout()):
                 head = await self._exchange.read_head()
         except TimeoutError:
             return self._report_lost('silent', outcomes.Cause.SILENT)
@@ -199,7 +199,7 @@
                 'not the answer to this request', outcomes.Cause.MALFORMED
             )
         try:
-            async with patience.Limit(self._get_remaining_s()):
+            async with timeouts.Timeout(self._get_remaining_s()):
                 if is_success(head):
                     return await self._forward(head)
                 return await self._take_failure(head)
@@ -239,7 +239,7 @@
             # is healthy; any other rejection counts as a failure.
             self._record_loss(certain=True)
         try:
-            async with patience.Limit(REJECTION_READ_S):
+            async with timeouts.Timeout(REJECTION_READ_S):
                 while await self._exchange.read_data():
                     pass
                 self._exchange.release()
@@ -252,7 +252,7 @@
         while data := await self._exchange.read_data():
             body += data
         self._exchange.release()
-        wait_s = self._hub.timer.measure_run(self._sent_at)
+        wait_s = self._hub.timer.measure_running_s(self._sent_at)
         # A target that asks for a back-off lacks free capacity and has said
         # for how long: that is no failure.
         failed = head.status >= 500 and not head.notices.asks_backoff
@@ -293,13 +293,13 @@
         pause_s = MAX_STREAM_PAUSE_S if self._state.may_send_again() else None
         while True:
             try:
-                async with patience.Limit(pause_s):
+                async with timeouts.Timeout(pause_s):
                     data = await self._exchange.read_data()
             except TimeoutError:
                 return self._report_lost('paused', outcomes.Cause.PAUSED)
             if not data:
                 break
-            self._view.loads.record_heard(name, self._hub.clock())
+            self._view.loads.record_received(name, self._hub.clock())
             self._record_version(await stream.take(data))
             if stream.any_sent and not stream.first_recorded:
                 stream.first_recorded = True
@@ -348,7 +348,7 @@
     def _record_first(self):
         now = self._hub.clock()
         self._view.record_first(self._plan, self._state.work, now)
-        wait_s = self._hub.timer.measure_run(self._sent_at)
+        wait_s = self._hub.timer.measure_running_s(self._sent_at)
         self._view.record_answer(self._plan, wait_s, False)
         self._state.record_first(now)
 
@@ -362,9 +362,11 @@
         # A missing limit means "no limit" only in a signed success.
         certain = answered and is_success(head)
         name = self._plan.entry.name
-        self._hub.hearing.take(name, head.notices, self._sent_at, certain)
+        self._hub.target_notices.take(
+            name, head.notices, self._sent_at, certain
+        )
         if answered and not head.notices.asks_backoff:
-            self._view.bars.rests.record_answered(name, self._sent_at)
+            self._view.bars.backoffs.record_answered(name, self._sent_at)
 
     def _record_version(self, version):
         prompt = self._state.work.prompt
@@ -406,7 +408,7 @@
     return {
         'target': plan.entry.name,
         'expected_s': round(plan.expected_s, 4),
-        'kept': plan.kept,
+        'kept': plan.cached,
         'fetched': plan.transfer.tokens,
         'read': plan.read_tokens,
         'saved': sum(1 for address in plan.transfer.save if address),
--- a/landingspool/gateway/cachewatch.py
+++ b/landingspool/gateway/cache_follower.py
@@ -14,7 +14,7 @@
 import cbor2
 import msgspec
 
-from landingspool.decisions.gateway import warmth
+from landingspool.decisions.gateway import context_index
 from landingspool.gateway import boxcalls
 from landingspool.platform import boot
 from landingspool.platform import runners
@@ -54,7 +54,7 @@
 FIRST_LOOK_S = 0.05
 
 
-class Cachewatch:
+class CacheFollower:
     """Follows every engine and every store of kept context.
 
     Parameters
@@ -71,7 +71,7 @@
         """Follow until cancelled."""
         try:
             while True:
-                peer = self._hub.peering.pick_watcher()
+                peer = self._hub.peering.pick_store_follower()
                 if peer is None:
                     wanted = self._list_wanted()
                     self._adapt(wanted)
@@ -91,7 +91,7 @@
         if table is None:
             return {}
         wanted = {}
-        for address in table.keepers:
+        for address in table.context_stores:
             wanted[address] = boot.parse_address(address), STORE_PERIOD_S
         if len(self._hub.peering.peers) >= MOST_BOXES:
             return wanted
@@ -114,7 +114,7 @@
 
     async def _follow(self, name, address, period_s):
         # A box that was told of a store by another one goes on from there.
-        whole = self._hub.view.warmth.get(name) is None
+        whole = self._hub.view.context_index.get(name) is None
         while True:
             sent = self._hub.clock()
             if whole:
@@ -133,7 +133,7 @@
 
     def _take(self, name, news, sent, now):
         """Take in news; tells whether the whole list is needed."""
-        known = self._hub.view.warmth
+        known = self._hub.view.context_index
         index = known.get(name)
         again = known.take(name, news, sent, now)
         if index is None or index.epoch != news.epoch:
@@ -143,7 +143,7 @@
         return again
 
     async def _read_events(self, name, address):
-        index = self._hub.view.warmth.get(name)
+        index = self._hub.view.context_index.get(name)
         since = index.next if index is not None else 0
         # A list tells no clock, and without one nothing may be offered.
         known = index is not None and index.clock_ms is not None
@@ -165,7 +165,7 @@
             read, whose clock the next answer brings, MISSING where one could
             not be had.
         """
-        stores = self._hub.view.table.keepers
+        stores = self._hub.view.table.context_stores
         sent = self._hub.clock()
         found = await self._fetch_changes(peer, stores)
         if found is None:
@@ -182,7 +182,7 @@
         return LISTED if await self._read_lists(missing) else MISSING
 
     def _is_known(self, name):
-        return self._hub.view.warmth.get(name) is not None
+        return self._hub.view.context_index.get(name) is not None
 
     async def _read_lists(self, names):
         """Read whole lists, some at a time; tells whether all were had."""
@@ -193,14 +193,14 @@
         return all(read)
 
     async def _fetch_changes(self, peer, stores):
-        """Fetch the News of another box by store; None: it gave no answer."""
-        known = self._hub.view.warmth
-        wanted = {name: known.get_place(name) for name in stores}
+        """Fetch the CacheUpdate of another box by store; None: it gave no answer."""
+        known = self._hub.view.context_index
+        wanted = {name: known.get_position(name) for name in stores}
         try:
             return await boxcalls.ask(
                 self._hub,
                 peer,
-                dict[str, warmth.News],
+                dict[str, context_index.CacheUpdate],
                 ('POST', CHANGES_PATH),
                 cbor2.dumps(wanted),
                 timeout=ANSWER_S,
@@ -232,7 +232,7 @@
             self._hub.recorder.record('bad_message', reason=str(error))
             await exchange.send_json(400, {'error': 'not understood'})
             return
-        known, now = self._hub.view.warmth, self._hub.clock()
+        known, now = self._hub.view.context_index, self._hub.clock()
         found = {n: known.tell(n, *place, now) for n, place in wanted.items()}
         told = {n: news for n, news in found.items() if news is not None}
         await boxcalls.answer(exchange, msgspec.to_builtins(told))
--- a/landingspool/gateway/marks.py
+++ b/landingspool/gateway/crash_records.py
@@ -8,7 +8,7 @@
 import asyncio
 import typing
 
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.platform import catalogue
 from landingspool.platform import names
 from landingspool.platform import store as store_module
@@ -27,8 +27,8 @@
     at: float
 
 
-class Marks:
-    """The lasting part of what endings.Endings knows.
+class CrashRecords:
+    """The lasting part of what endings.Crashes knows.
 
     Parameters
     ----------
@@ -43,12 +43,12 @@
         self._written = {}
         self._wake = asyncio.Event()
 
-    def look(self):
+    def check(self):
         """Log what is new, and have it written."""
         endings = self._endings
-        for fingerprint in take_all(endings.fresh):
+        for fingerprint in pop_all(endings.fresh):
             self._record_barred(fingerprint)
-        for fingerprint in take_all(endings.lifted):
+        for fingerprint in pop_all(endings.lifted):
             self._hub.recorder.record('bar_lifted', content=fingerprint.hex())
             self._put(fingerprint, b'')
 
@@ -65,7 +65,9 @@
             else:
                 fingerprint = bytes.fromhex(key)
                 words = [
-                    neighbours.CrashNotice(fingerprint, neighbours.NO_LIFE, 0)
+                    peer_digests.CrashNotice(
+                        fingerprint, peer_digests.NO_INCARNATION, 0
+                    )
                 ]
         except (catalogue.Malformed, ValueError) as error:
             self._hub.recorder.record(
@@ -74,7 +76,7 @@
             return
         for word in words:
             self._endings.take(word, now)
-        self.look()
+        self.check()
 
     def list_due(self):
         """List what is still to be written, by its key."""
@@ -92,8 +94,8 @@
     def _record_barred(self, fingerprint):
         now = self._hub.clock()
         words = self._endings.list_notices(fingerprint, now)
-        lives = self._hub.view.fleet.list_lives()
-        found = {neighbours.code_target(name): name for name in lives}
+        lives = self._hub.view.fleet.list_incarnations()
+        found = {peer_digests.hash_target(name): name for name in lives}
         self._hub.recorder.record(
             'barred',
             content=fingerprint.hex(),
@@ -105,7 +107,7 @@
 
     def _put(self, fingerprint, value):
         key = fingerprint.hex()
-        turn = self._hub.peering.find_place(key)
+        turn = self._hub.peering.get_rank(key)
         self._due[key] = Due(value, self._hub.clock() + turn * TURN_S)
         self._wake.set()
 
@@ -129,7 +131,7 @@
         return bool(self._written.get(key)) == bool(value)
 
 
-def take_all(rows):
+def pop_all(rows):
     """Empty a list; gives what it held."""
     taken = list(rows)
     rows.clear()
--- a/landingspool/gateway/following.py
+++ b/landingspool/gateway/following.py
@@ -33,7 +33,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `sources`, `offer`, `view`, `recorder`, `clock`.
+        The box's parts: `sources`, `record_server`, `view`, `recorder`, `clock`.
 
     Attributes
     ----------
@@ -42,7 +42,7 @@
         Seconds for which a read is held where there is nothing new.
     newest_only : bool
         Whether only the newest record of a key matters.
-    least_end : int
+    min_end : int
         Where the topic ended as far as this box knows.
     was_tried : bool
         Whether the topic has been read, or could not be.
@@ -56,7 +56,7 @@
         self._up = None
         self.was_tried = False
         self._tail = tail_module.Tail(self.newest_only)
-        hub.offer.add(self.topic, self._tail)
+        hub.record_server.add(self.topic, self._tail)
 
     async def run(self):
         """Follow until cancelled.
@@ -70,7 +70,7 @@
             newest = await self._read(
                 'newest',
                 lambda: self._hub.sources.read_newest(
-                    self.topic, self.least_end
+                    self.topic, self.min_end
                 ),
             )
             self._tail.reset(newest.records, newest.end, newest.sent)
@@ -86,8 +86,8 @@
             offset = page.end
             self._tail.extend(page)
             if page.records:
-                self._hub.offer.wake(self.topic)
-            self._take_page(page)
+                self._hub.record_server.wake(self.topic)
+            self._apply_page(page)
 
     async def _read_page(self, offset):
         return await self._hub.sources.read(self.topic, offset, self.hold_s)
@@ -142,7 +142,7 @@
             await self._hub.sources.wait_answered(AWAY_S)
 
     @property
-    def least_end(self):
+    def min_end(self):
         """An older word of another box is not taken."""
         return self._tail.end or 0
 
@@ -158,7 +158,7 @@
             self._take(record)
         self._record_read(newest.sent)
 
-    def _take_page(self, page):
+    def _apply_page(self, page):
         for record in page.records:
             self._take(record)
         if page.whole:
@@ -203,7 +203,7 @@
         )
         if left_s <= 0:
             return 0.0
-        if not peering.is_large():
+        if not peering.has_readers():
             return peering.ages.hold_s
         return min(peering.ages.chained_s, left_s)
 
@@ -277,9 +277,9 @@
     hold_s = 2.4
 
     @property
-    def least_end(self):
+    def min_end(self):
         """What another box gave may be newer than what was read."""
-        return max(super().least_end, self._hub.state.targets_end)
+        return max(super().min_end, self._hub.state.targets_end)
 
     def _take_newest(self, newest):
         super()._take_newest(newest)
@@ -289,12 +289,12 @@
             if target not in listed:
                 self._drop(target)
 
-    def _take_page(self, page):
+    def _apply_page(self, page):
         # What is older than what another box gave would bring back targets
         # that are gone.
         known = self._hub.state.targets_end
         fresh = tuple(r for r in page.records if r.offset >= known)
-        super()._take_page(dataclasses.replace(page, records=fresh))
+        super()._apply_page(dataclasses.replace(page, records=fresh))
         self._hub.state.targets_end = max(known, page.end)
 
     def _take(self, record):
@@ -322,13 +322,13 @@
         super()._take_newest(newest)
         self._watch.end = newest.end
 
-    def _take_page(self, page):
-        super()._take_page(page)
+    def _apply_page(self, page):
+        super()._apply_page(page)
         self._watch.end = page.end
 
     def _take(self, record):
         if record.key.startswith(names.CRASHES_KEY):
-            self._hub.marks.take(record)
+            self._hub.crash_records.take(record)
             return
         try:
             claim = catalogue.read_claim(record.value, record.offset)
--- a/landingspool/gateway/heads.py
+++ b/landingspool/gateway/heads.py
@@ -11,7 +11,7 @@
 import h11
 
 from landingspool import http
-from landingspool import patience
+from landingspool import timeouts
 
 HEAD_END = b'\r\n\r\n'
 # A line feed without a carriage return, or the reverse.
@@ -167,7 +167,7 @@
     http.BadRequest
     """
     try:
-        async with patience.Limit(limits.idle_s):
+        async with timeouts.Timeout(limits.idle_s):
             first = await connection.read()
     except TimeoutError:
         return None
@@ -175,12 +175,12 @@
         return None
     connection.push_back(first)
     try:
-        async with patience.Limit(limits.header_s):
+        async with timeouts.Timeout(limits.header_s):
             data = await read_head(connection, limits.header_bytes)
         if data is None:
             return None
         codec, request = parse_head(data)
-        async with patience.Limit(limits.header_s):
+        async with timeouts.Timeout(limits.header_s):
             body = await read_body(connection, codec, limits.body_bytes)
     except TimeoutError:
         raise http.BadRequest(408, 'the request took too long') from None
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -5,16 +5,16 @@
 import time
 import traceback
 
-from landingspool.decisions.gateway import absence
+from landingspool.decisions.gateway import stalls
 from landingspool.decisions.gateway import routes
 from landingspool.decisions.gateway import view as view_module
 from landingspool.decisions import timing
 from landingspool import events
-from landingspool.gateway import cachewatch
+from landingspool.gateway import cache_follower
 from landingspool.gateway import following
-from landingspool.gateway import hearing
+from landingspool.gateway import target_notices
 from landingspool.gateway import listener
-from landingspool.gateway import marks
+from landingspool.gateway import crash_records
 from landingspool.gateway import metrics
 from landingspool.gateway import ordering
 from landingspool.gateway import peering
@@ -32,7 +32,7 @@
 from landingspool.platform import runners
 from landingspool.platform import store
 from landingspool import timer as timer_module
-from landingspool import uptime
+from landingspool import boot_clock
 
 # Period of the heartbeat that shows that this process isn't stalled.
 HEARTBEAT_S = 0.1
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    place : deployment.Deployment
+    deployment : deployment.Deployment
     seed : int
         Of the random number generator.
     clock : callable, optional
@@ -73,26 +73,28 @@
         Returns the time of day, seconds since 1970.
     """
 
-    def __init__(self, place, seed, clock=uptime.read, wall=time.time):
-        self.place = place
+    def __init__(
+        self, deployment, seed, clock=boot_clock.read, wall=time.time
+    ):
+        self.deployment = deployment
         self.clock = clock
         self.wall = wall
         self.timer = timer_module.Timer(clock)
         self.recorder = events.Recorder(
-            place.box, wall, RING_EVENTS, events.format_json
+            deployment.box, wall, RING_EVENTS, events.format_json
         )
         self.metrics = metrics.Metrics()
         self.view = view_module.View(
-            place.domain, place.bounds, seed, place.regions
+            deployment.domain, deployment.bounds, seed, deployment.regions
         )
         self.heartbeat = timing.Heartbeat()
         self.client = httpclient.Client()
-        self.store = store.Store(self.client, place.store, clock)
-        self.hearing = hearing.Hearing(self)
-        self.runners = runners.Runners(self.client, self.hearing)
+        self.store = store.Store(self.client, deployment.store, clock)
+        self.target_notices = target_notices.TargetNotices(self)
+        self.runners = runners.Runners(self.client, self.target_notices)
         self.upstream = upstream.Upstream(self.metrics, clock)
         max_connections = max(
-            place.descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTIONS
+            deployment.descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTIONS
         )
         self.listener = listener.Listener(
             self._handle, self._get_limits, max_connections
@@ -103,11 +105,13 @@
         self._metrics_server = http.Server(self._answer_side_request)
         self.state = state.State(self)
         self.sources = sources.Sources(self)
-        self.offer = sources.Offer(lambda: self.peering.is_cut(), clock)
-        self.cachewatch = cachewatch.Cachewatch(self)
+        self.record_server = sources.RecordServer(
+            lambda: self.peering.is_cut(), clock
+        )
+        self.cache_follower = cache_follower.CacheFollower(self)
         self.peering = peering.Peering(self)
         self.prober = prober.Prober(self)
-        self.marks = marks.Marks(self)
+        self.crash_records = crash_records.CrashRecords(self)
         self.resumption = resumption.Resumption(self)
         self._claims = None
         self._tasks = []
@@ -115,12 +119,12 @@
 
     async def run(self):
         """Serve until stopped; then finish open requests and exit."""
-        await self._readiness_server.start(*self.place.readiness)
+        await self._readiness_server.start(*self.deployment.readiness)
         await self._start_metrics()
-        await self.listener.start(self.place.callers)
+        await self.listener.start(self.deployment.callers)
         self.timer.subscribe_stall(self._on_stall)
         self.timer.subscribe(HEARTBEAT_S, self._on_heartbeat)
-        self.timer.subscribe(prober.LOOK_S, self.prober.look)
+        self.timer.subscribe(prober.CHECK_PERIOD_S, self.prober.check)
         self.timer.subscribe(SWEEP_PERIOD_S, self._sweep)
         self.timer.subscribe(METRICS_LOG_PERIOD_S, self._log_metrics)
         self._spawn(following.Published(self).run())
@@ -128,14 +132,14 @@
         orderer = ordering.Orderer(self)
         self._claims = following.Claims(self, orderer.watch)
         self._spawn(self._claims.run())
-        self._spawn(self.marks.run())
+        self._spawn(self.crash_records.run())
         self._spawn(orderer.run())
-        self._spawn(self.cachewatch.run())
+        self._spawn(self.cache_follower.run())
         self._spawn(sweeper.Sweeper(self).run())
-        if self.place.links is not None:
+        if self.deployment.links is not None:
             await self.peering.start()
             self._spawn(self.peering.run())
-        self.recorder.record('started', domain=self.place.domain)
+        self.recorder.record('started', domain=self.deployment.domain)
         await self._stop.wait()
         await self._shut_down()
 
@@ -183,7 +187,7 @@
         """Correct what is known for a stall of this process."""
         self.recorder.record('frozen', seconds=round(stall.seconds, 2))
         self.heartbeat.record(stall.now)
-        absence.exclude_stall(self.view, stall.seconds, stall.now)
+        stalls.exclude_stall(self.view, stall.seconds, stall.now)
         self.sources.exclude_stall(stall.seconds)
         self.resumption.begin(stall)
 
@@ -192,20 +196,20 @@
         for name in self.view.fleet.tick(tick.now):
             self.recorder.record('target_down', target=name, sure=True)
             self.view.record_over(name, tick.now)
-        self.marks.look()
-        self.hearing.look()
+        self.crash_records.check()
+        self.target_notices.check()
 
     def _sweep(self, tick):
         self.upstream.sweep()
-        self.hearing.sweep()
+        self.target_notices.sweep()
         bars = self.view.bars
         self.metrics.record_targets(
-            len(bars.coldness.list_cold(tick.now)),
+            len(bars.cold_targets.list_cold(tick.now)),
             bars.evacuation.describe(tick.now),
-            self.view.partition.is_on,
+            self.view.engine_split.is_on,
         )
         self.metrics.quarantined.set(
-            len(self.view.endings.list_barred(tick.now))
+            len(self.view.endings.list_quarantined(tick.now))
         )
 
     def _log_metrics(self, tick):
@@ -213,24 +217,24 @@
             'figures',
             calls=dict(self.store.calls),
             boxes=len(self.peering.peers) + 1,
-            reader=self.peering.name_reader(),
-            relayed_kb=self.offer.relayed_bytes // 1024,
+            reader=self.peering.get_reader_name(),
+            relayed_kb=self.record_server.relayed_bytes // 1024,
             targets=len(self.view.fleet.entries),
             open=self.listener.count_busy(),
             proof_s=self.view.proof.age_to_log(tick.now),
             stores=self._describe_stores(tick.now),
-            cold=len(self.view.bars.coldness.list_cold(tick.now)),
+            cold=len(self.view.bars.cold_targets.list_cold(tick.now)),
             evacuated=self.view.bars.evacuation.describe(tick.now),
-            leaving=self.hearing.list_leaving(tick.now),
-            resting=self.view.bars.rests.list_resting(tick.now),
+            leaving=self.target_notices.list_leaving(tick.now),
+            resting=self.view.bars.backoffs.list_backoffs(tick.now),
         )
 
     def _describe_stores(self, now):
         """Return each store's cached tokens and the age of its index."""
         table = self.view.table
         found = {}
-        for address in table.keepers if table is not None else ():
-            index = self.view.warmth.get(address)
+        for address in table.context_stores if table is not None else ():
+            index = self.view.context_index.get(address)
             if index is not None:
                 age_s = round(now - index.confirmed, 2)
                 found[address] = [index.used, age_s]
@@ -256,7 +260,7 @@
     async def _start_metrics(self):
         try:
             await self._metrics_server.start(
-                self.place.callers.host, METRICS_PORT
+                self.deployment.callers.host, METRICS_PORT
             )
         except OSError as error:
             # Metrics are for engineers only; requests are served without.
@@ -265,10 +269,12 @@
     async def _shut_down(self):
         self.recorder.record('draining', open=self.listener.count_busy())
         began = self.clock()
-        deadline = began + self.place.bounds.grace_s - EXIT_MARGIN_S
+        deadline = began + self.deployment.bounds.grace_s - EXIT_MARGIN_S
         self.listener.stop()
         self._spawn(self.peering.leave())
-        await asyncio.sleep(min(STOP_NOTICE_S, self.place.bounds.grace_s / 2))
+        await asyncio.sleep(
+            min(STOP_NOTICE_S, self.deployment.bounds.grace_s / 2)
+        )
         await self.listener.close(max(deadline - self.clock(), 0.1))
         for task in self._tasks:
             task.cancel()
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -30,13 +30,13 @@
 
     Attributes
     ----------
-    watch : rollouts.Watch
+    watch : rollouts.ClaimWatch
         Told of every claim that is read.
     """
 
     def __init__(self, hub):
         self._hub = hub
-        self.watch = rollouts.Watch(hub.place.bounds.lease_s)
+        self.watch = rollouts.ClaimWatch(hub.deployment.bounds.lease_s)
         self._lease = None
         self._told = ()
         # Since when the right is wanted and nobody holds it.
@@ -66,7 +66,7 @@
         for model, named in view.weights.named.items():
             targets = {
                 entry.name: view.fleet.get_version(entry.name, model) or 0
-                for entry in view.list_ordered(model)
+                for entry in view.list_loadable(model)
             }
             if rollouts.is_needed(named.version, targets):
                 rows.append((model, named.version, targets))
@@ -78,7 +78,7 @@
             return True
         if self.watch.end is None:
             return False
-        box = self._hub.place.box
+        box = self._hub.deployment.box
         if not self.watch.may_claim(box, now):
             self._free_since = None
             return False
@@ -88,8 +88,10 @@
         """Tell whether the boxes before this one had time to claim."""
         if self._free_since is None:
             self._free_since = now
-        place = self._hub.peering.find_place(CLAIM_KEY)
-        return now - self._free_since >= rollouts.find_turn(place)
+        deployment = self._hub.peering.get_rank(CLAIM_KEY)
+        return now - self._free_since >= rollouts.compute_claim_delay(
+            deployment
+        )
 
     async def _hold(self, loading):
         """Make the claim good; tells whether orders may be given.
@@ -99,7 +101,7 @@
         """
         now = self._hub.clock()
         held = rollouts.is_held(self._lease, now)
-        young = held and rollouts.is_young(self._lease, now)
+        young = held and rollouts.is_recent(self._lease, now)
         if young and tuple(loading) == self._told:
             return True
         if not await self._claim(loading):
@@ -107,7 +109,7 @@
         return rollouts.is_held(self._lease, self._hub.clock())
 
     async def _claim(self, loading):
-        box = self._hub.place.box
+        box = self._hub.deployment.box
         value = catalogue.write_claim(box, loading)
         reply = await self._hub.store.append(
             names.CLAIMS_TOPIC, CLAIM_KEY, value, self.watch.end
@@ -118,7 +120,7 @@
                 self._hub.recorder.record('holding', fence=reply.offset)
             # The newest append is the fence: they only rise.
             self._lease = rollouts.Lease(
-                reply.offset, reply.sent, self._hub.place.bounds.lease_s
+                reply.offset, reply.sent, self._hub.deployment.bounds.lease_s
             )
             self._told = tuple(loading)
             self._hub.view.weights.put_loading(loading, self._hub.clock())
@@ -140,11 +142,11 @@
         for model, version, targets in behind:
             rollout = self._rollouts.setdefault(model, rollouts.Rollout())
             left = [
-                self._hub.view.find_time_left(name, model, now)
+                self._hub.view.get_time_left(name, model, now)
                 for name, has in targets.items()
                 if has < version
             ]
-            most = rollouts.find_room(len(targets), left)
+            most = rollouts.compute_concurrency(len(targets), left)
             for order in rollout.plan(model, version, targets, most, now):
                 rollout.record(order, now, rollouts.PREPARING)
                 orders.append(order)
@@ -211,7 +213,11 @@
             return rollouts.REFUSED
         fence = self._lease.fence
         reply = await self._hub.runners.order(
-            entry.address, order, report.orders, self._hub.place.box, fence
+            entry.address,
+            order,
+            report.orders,
+            self._hub.deployment.box,
+            fence,
         )
         self._hub.metrics.orders.labels(type(reply).__name__).inc()
         self._hub.recorder.record(
@@ -243,7 +249,9 @@
             return runners.Unanswered('it wants no calls', False)
         report = await self._hub.runners.report(entry.address)
         if isinstance(report, runners.Report):
-            if report.is_other_incarnation(fleet.read_life(entry.name)):
+            if report.is_other_incarnation(
+                fleet.parse_incarnation(entry.name)
+            ):
                 return runners.Unanswered('it has started again', True)
             version = report.versions.get(order.model)
             if version is not None:
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from landingspool.boxes import datagrams
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import readers
 from landingspool.decisions import ownership
 from landingspool.gateway import boxcalls
-from landingspool.gateway import cachewatch
+from landingspool.gateway import cache_follower
 from landingspool.gateway import registry
 from landingspool.gateway import sources
 from landingspool.gateway import state
@@ -72,18 +72,18 @@
         self._fetching = False
         self.peers = {}
         self._registry = registry.Registry(hub, self.peers)
-        place = hub.place
-        bound_s = min(place.bounds.table_s, place.bounds.key_s)
+        deployment = hub.deployment
+        bound_s = min(deployment.bounds.table_s, deployment.bounds.key_s)
         self.ages = readers.plan_ages(bound_s)
         self._readers = readers.Readers(
-            place.box, place.link_mbps, self.ages.old_s
+            deployment.box, deployment.link_mbps, self.ages.old_s
         )
         self._socket = datagrams.Datagrams(self._take, self._record_bad)
         self._server = http.Server(self._answer)
 
     async def start(self):
         """Open the sockets and begin to tell."""
-        address = self._hub.place.links
+        address = self._hub.deployment.links
         await self._socket.start(address)
         await self._server.start(*address)
         self._hub.timer.subscribe(DIGEST_S, self._tell)
@@ -95,15 +95,15 @@
 
     async def wait_listed(self):
         """Wait until the other boxes are known, but not for long."""
-        if self._hub.place.links is None:
+        if self._hub.deployment.links is None:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LISTED_S):
                 await self._registry.listed.wait()
 
-    def find_place(self, subject):
+    def get_rank(self, subject):
         """Give the place of this box in the hash order of all boxes."""
-        box = self._hub.place.box
+        box = self._hub.deployment.box
         order = ownership.rank(subject, tuple(sorted((*self.peers, box))))
         return order.index(box)
 
@@ -133,7 +133,7 @@
         name = self._readers.pick(links, age_s, self._hub.clock())
         return self.peers.get(name)
 
-    def pick_watcher(self):
+    def pick_store_follower(self):
         """Pick the registry.Peer that follows the stores of kept context.
 
         None: this box does.  However old its proof of the tables is, a box
@@ -142,17 +142,17 @@
         """
         return self._pick_peer(0.0)
 
-    def name_reader(self):
+    def get_reader_name(self):
         """Give the name of the box to read from; empty for the store."""
         reader = self.pick_reader()
         return reader.name if reader is not None else ''
 
-    def is_large(self):
+    def has_readers(self):
         """Tell whether this domain has boxes that read for others."""
-        return len(self._list_near()) >= readers.MOST_ALONE
+        return len(self._list_near()) >= readers.MAX_DIRECT_READERS
 
     def _list_near(self):
-        domain = self._hub.place.domain
+        domain = self._hub.deployment.domain
         return [n for n, p in self.peers.items() if p.domain == domain]
 
     def shun(self, name, reason):
@@ -177,13 +177,13 @@
         Where others can be followed it does so, and who follows it is told
         at once; who has nobody to follow goes on trying.
         """
-        if self.is_large() and not self.is_cut():
-            self.shun(self._hub.place.box, reason)
-            self._hub.offer.wake_all()
+        if self.has_readers() and not self.is_cut():
+            self.shun(self._hub.deployment.box, reason)
+            self._hub.record_server.wake_all()
 
     def is_cut(self):
         """Tell whether the store failed this box shortly before."""
-        return self.is_shunned(self._hub.place.box)
+        return self.is_shunned(self._hub.deployment.box)
 
     def _tell(self, tick):
         view = self._hub.view
@@ -191,18 +191,18 @@
         # is only not heard spends its part all the same.
         view.boxes = max(view.boxes, len(self.peers) + 1)
         domains = [peer.domain for peer in self.peers.values()]
-        view.others = dict(collections.Counter(domains))
+        view.peers_by_domain = dict(collections.Counter(domains))
         if self._registry.was_read:
             # Without the list a box may believe that it is one of few.
             view.bars.shares.set_members(
-                self._hub.place.box,
-                (*self.peers, self._hub.place.box),
+                self._hub.deployment.box,
+                (*self.peers, self._hub.deployment.box),
                 tick.now,
             )
-        view.watching.set_members(self._hub.place.box, self._list_near())
+        view.watching.set_members(self._hub.deployment.box, self._list_near())
         self._send_digest(tick.now)
 
-    def hurry(self):
+    def send_urgent_digest(self):
         """Send a digest at once where a limit has begun.
 
         What goes to a target until all boxes know of it is over its limit:
@@ -219,14 +219,14 @@
         view = self._hub.view
         self._number += 1
         self._sent = now
-        digest = neighbours.Digest(
-            box=self._hub.place.box,
-            domain=self._hub.place.domain,
+        digest = peer_digests.Digest(
+            box=self._hub.deployment.box,
+            domain=self._hub.deployment.domain,
             number=self._number,
-            loads=neighbours.code_loads(view.loads.list_told()),
+            loads=peer_digests.hash_loads(view.loads.list_told()),
             unreached=view.reach.list_told(),
             rooms=view.rooms,
-            link_mbps=self._hub.place.link_mbps,
+            link_mbps=self._hub.deployment.link_mbps,
             endings=view.endings.tell(now),
             limits=view.bars.limits.tell(now),
             leaving=view.bars.leaving.tell(now),
@@ -242,33 +242,33 @@
             return
         self._number += 1
         self._asks = {self._number: tick.now}
-        ask = neighbours.Ask(self._hub.place.box, self._number)
+        ask = peer_digests.Ask(self._hub.deployment.box, self._number)
         for address in self._pick(ASKED):
             self._socket.send(ask, address)
 
     def _pick_told(self):
         if not self.peers:
-            return self._pick(neighbours.FAN_OUT)
-        domain, near, far = self._hub.place.domain, [], []
+            return self._pick(peer_digests.FAN_OUT)
+        domain, near, far = self._hub.deployment.domain, [], []
         for peer in self.peers.values():
             (near if peer.domain == domain else far).append(peer.address)
-        return neighbours.pick_told(near, far, self._hub.view.rng)
+        return peer_digests.pick_recipients(near, far, self._hub.view.rng)
 
     def _pick(self, most):
         # The seeds are a start where the store tells of no box.
         known = [peer.address for peer in self.peers.values()]
-        known = known or list(self._hub.place.seeds)
+        known = known or list(self._hub.deployment.seeds)
         return random.sample(known, min(most, len(known)))
 
     def _get_proof_age(self):
         proof, now = self._hub.view.proof, self._hub.clock()
-        return round(proof.age_to_tell(now), 3)
+        return round(proof.age_to_send(now), 3)
 
     def _take(self, message, address):
         HANDLERS[type(message)](self, message, http.Address(*address))
 
     def _take_digest(self, digest, address):
-        if digest.box == self._hub.place.box:
+        if digest.box == self._hub.deployment.box:
             return
         if digest.box not in self.peers:
             self.peers[digest.box] = registry.Peer(
@@ -276,15 +276,15 @@
             )
         now = self._hub.clock()
         self._hub.view.take_digest(digest, now)
-        self._hub.marks.look()
-        self.hurry()
+        self._hub.crash_records.check()
+        self.send_urgent_digest()
 
     def _take_ask(self, ask, address):
         view = self._hub.view
         if view.table is None:
             return
-        tell = neighbours.Tell(
-            self._hub.place.box,
+        tell = peer_digests.Tell(
+            self._hub.deployment.box,
             ask.number,
             view.table.version,
             self._get_proof_age(),
@@ -321,7 +321,7 @@
             given = await boxcalls.fetch(
                 self._hub.client,
                 address,
-                state.Given,
+                state.StateSnapshot,
                 ('GET', STATE_PATH),
                 timeout=FETCH_S,
             )
@@ -339,27 +339,27 @@
 
     async def _answer_state(self, request, exchange):
         given = msgspec.to_builtins(
-            self._hub.state.give(), builtin_types=[bytes]
+            self._hub.state.get_snapshot(), builtin_types=[bytes]
         )
         await boxcalls.answer(exchange, given)
 
     async def _answer_records(self, request, exchange):
-        await self._hub.offer.answer_records(request, exchange)
+        await self._hub.record_server.answer_records(request, exchange)
 
     async def _answer_newest(self, request, exchange):
-        await self._hub.offer.answer_newest(request, exchange)
+        await self._hub.record_server.answer_newest(request, exchange)
 
     async def _answer_changes(self, request, exchange):
-        await self._hub.cachewatch.answer_changes(request, exchange)
+        await self._hub.cache_follower.answer_changes(request, exchange)
 
     def _record_bad(self, reason):
         self._hub.recorder.record('bad_message', reason=reason)
 
 
 HANDLERS = {
-    neighbours.Digest: Peering._take_digest,
-    neighbours.Ask: Peering._take_ask,
-    neighbours.Tell: Peering._take_tell,
+    peer_digests.Digest: Peering._take_digest,
+    peer_digests.Ask: Peering._take_ask,
+    peer_digests.Tell: Peering._take_tell,
 }
 
 
@@ -367,5 +367,5 @@
     STATE_PATH: Peering._answer_state,
     sources.RECORDS_PATH: Peering._answer_records,
     sources.NEWEST_PATH: Peering._answer_newest,
-    cachewatch.CHANGES_PATH: Peering._answer_changes,
+    cache_follower.CHANGES_PATH: Peering._answer_changes,
 }
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -8,7 +8,7 @@
 from landingspool.gateway import upstream
 
 # Period of the looks for targets that are due, seconds.
-LOOK_S = 0.1
+CHECK_PERIOD_S = 0.1
 
 
 class Prober:
@@ -31,7 +31,7 @@
             self._hub.recorder.record('unreached', target=name, reason=reason)
         view.record_unreached(name, self._hub.clock())
 
-    def look(self, tick):
+    def check(self, tick):
         """Begin a probe of each target that is due."""
         for name in self._hub.view.reach.list_due(tick.now):
             if name not in self._probing and self._may_probe(name, tick.now):
@@ -61,7 +61,7 @@
         known = name in view.reach.list_failed()
         try:
             await self._hub.upstream.probe(
-                entry.address, view.find_kept(entry.service)
+                entry.address, view.get_connection_limit(entry.service)
             )
         except upstream.ExchangeError as error:
             if name in view.fleet.entries:
--- a/landingspool/gateway/registry.py
+++ b/landingspool/gateway/registry.py
@@ -22,7 +22,7 @@
 # tell of new boxes within a second.  Where there are more boxes than so many
 # it is longer, so that all together ask no more often.
 BOXES_S = 30.0
-USUAL_BOXES = 8
+MIN_BOXES = 8
 # Seconds from this box's entry to the second reading of the list where the
 # whole system starts: all boxes start within 0.3 s, and the store takes the
 # entries of 195 of them one after the other, in 0.4 s.
@@ -46,7 +46,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `place`, `store`, `view`, `clock`.
+        The box's parts: `deployment`, `store`, `view`, `clock`.
     peers : dict of str to Peer
         The other boxes by name, kept up to date in place.
 
@@ -66,10 +66,10 @@
 
     async def run(self):
         """Make this box known, and learn now and then which others are."""
-        if not self._hub.place.first_start:
+        if not self._hub.deployment.first_start:
             await self._begin()
         await self._register()
-        if self._hub.place.first_start:
+        if self._hub.deployment.first_start:
             await asyncio.sleep(GATHERING_S)
             await self._begin()
         while True:
@@ -90,21 +90,23 @@
 
     def _find_period(self):
         boxes = len(self._peers) + 1
-        return BOXES_S * max(boxes / USUAL_BOXES, 1.0)
+        return BOXES_S * max(boxes / MIN_BOXES, 1.0)
 
     async def leave(self):
         """Make it known that this box stops."""
         await self._hub.store.append(
-            names.BOXES_TOPIC, self._hub.place.box, b''
+            names.BOXES_TOPIC, self._hub.deployment.box, b''
         )
 
     async def _register(self):
         """Make this box known through the store; ends when it is."""
-        place = self._hub.place
-        row = write_peer(place.links, place.domain, place.link_mbps)
+        deployment = self._hub.deployment
+        row = write_peer(
+            deployment.links, deployment.domain, deployment.link_mbps
+        )
         while True:
             reply = await self._hub.store.append(
-                names.BOXES_TOPIC, place.box, row
+                names.BOXES_TOPIC, deployment.box, row
             )
             if isinstance(reply, store_module.Appended):
                 return
@@ -114,9 +116,9 @@
         listed = {}
         for key, value, _ in newest.records:
             peer = read_peer(key, value)
-            if peer is not None and key != self._hub.place.box:
+            if peer is not None and key != self._hub.deployment.box:
                 listed[key] = peer
-        heard = self._hub.view.neighbours.list_heard(self._hub.clock())
+        heard = self._hub.view.neighbours.list_fresh_peers(self._hub.clock())
         for name in list(self._peers):
             if name not in listed and name not in heard:
                 del self._peers[name]
--- a/landingspool/gateway/relay.py
+++ b/landingspool/gateway/relay.py
@@ -11,7 +11,7 @@
 import typing
 
 from landingspool.decisions.gateway import admission
-from landingspool.decisions.gateway import bars
+from landingspool.decisions.gateway import exclusions
 from landingspool.decisions.gateway import plans
 from landingspool.decisions.gateway import routes
 from landingspool.gateway import attempts
@@ -82,7 +82,7 @@
         route = self._get_route()
         if route is None:
             return await self._deny(404, 'no_route')
-        tenancy, passes = routes.find_tenancy(table, route, self._call.key)
+        tenancy, passes = routes.get_tenancy(table, route, self._call.key)
         if not passes:
             return await self._deny(401, 'unknown_key')
         if not proved:
@@ -102,7 +102,9 @@
             now = self._hub.clock()
             if state.is_expired(now):
                 return await self._give_up('time_over', 504)
-            quarantine = self._view.endings.find_bar(state.fingerprint, now)
+            quarantine = self._view.endings.get_quarantine(
+                state.fingerprint, now
+            )
             if quarantine is not None:
                 return await self._refuse_quarantined(quarantine, now)
             ready = self._hub.upstream.list_ready(
@@ -113,9 +115,9 @@
             if plan is None:
                 shortage = self._view.find_lack(state.work, now)
                 return await self._refuse_excluded(shortage, now)
-            if plan.is_scarce and not state.sends:
+            if plan.all_limited and not state.sends:
                 if not self._view.room.take(state.work, self._view.table, now):
-                    return await self._refuse_excluded(bars.LIMITED, now)
+                    return await self._refuse_excluded(exclusions.LIMITED, now)
             if not state.sends and not self._view.is_admitted(
                 plan, state.work
             ):
@@ -157,11 +159,11 @@
         route = self._get_route()
         if route is None:
             return False
-        return routes.find_tenancy(self._view.table, route, self._call.key)[1]
+        return routes.get_tenancy(self._view.table, route, self._call.key)[1]
 
     def _get_route(self):
         call = self._call
-        return routes.find_route(self._view.table, call.host, call.target)
+        return routes.match_route(self._view.table, call.host, call.target)
 
     async def _handle_unreached(self, outcome):
         self._state.unsent_attempts += 1
@@ -177,7 +179,7 @@
         if self._state.has_sends_left() and self._take_retry_budget():
             return None
         work, now = self._state.work, self._hub.clock()
-        if self._view.has_open(work, now):
+        if self._view.has_available(work, now):
             return await self._give_up('rejected')
         return await self._refuse_excluded(
             self._view.find_lack(work, now), now
@@ -245,7 +247,7 @@
 
     def _estimate_capacity_return(self, now):
         left_s = self._state.get_time_left(now)
-        return self._view.room.find_return(
+        return self._view.room.compute_retry_after(
             self._state.work, self._view.table, left_s, now
         )
 
@@ -254,7 +256,7 @@
 
     async def _refuse_overloaded(self):
         wait_s = self._plan.wait_s
-        after = admission.find_retry_after(
+        after = admission.compute_retry_after(
             wait_s, self._plan.pressure, self._view.rng
         )
         await self._reply.send_error(503, 'busy', after)
@@ -303,9 +305,9 @@
 # Methods that return the Retry-After of a refusal, by why no target may get
 # the request.
 RETRY_AFTER_ESTIMATORS = {
-    bars.LIMITED: Relay._estimate_capacity_return,
-    bars.RESTING: Relay._estimate_capacity_return,
-    bars.LEAVING: Relay._estimate_replacement,
+    exclusions.LIMITED: Relay._estimate_capacity_return,
+    exclusions.BACKING_OFF: Relay._estimate_capacity_return,
+    exclusions.LEAVING: Relay._estimate_replacement,
 }
 OUTCOME_HANDLERS = {
     outcomes.Done: Relay._handle_done,
--- a/landingspool/gateway/request_state.py
+++ b/landingspool/gateway/request_state.py
@@ -69,7 +69,7 @@
         self.deadline = self.started + min(
             self.call.left_s, work.route.timeout_s
         )
-        self.fingerprint = fingerprints.take_fingerprint(
+        self.fingerprint = fingerprints.compute_fingerprint(
             work.tenancy.name if work.tenancy else '',
             self.call.target,
             self.body,
--- a/landingspool/gateway/sources.py
+++ b/landingspool/gateway/sources.py
@@ -17,7 +17,7 @@
 from landingspool.decisions.gateway import tail as tail_module
 from landingspool.gateway import boxcalls
 from landingspool.platform import store as store_module
-from landingspool import uptime
+from landingspool import boot_clock
 
 RECORDS_PATH = '/records'
 NEWEST_PATH = '/newest'
@@ -51,7 +51,7 @@
     Parameters
     ----------
     hub
-        The box's parts: `store`, `client`, `peering`, `clock`, `place`.
+        The box's parts: `store`, `client`, `peering`, `clock`, `deployment`.
 
     Attributes
     ----------
@@ -87,18 +87,18 @@
             lambda peer: self._read_box(peer, topic, start, hold_s),
         )
 
-    async def read_newest(self, topic, least_end):
+    async def read_newest(self, topic, min_end):
         """Read the newest of each key; as store.Store.read_newest.
 
         Parameters
         ----------
-        least_end : int
+        min_end : int
             Where the topic ended as far as this box knows: another box that
             has not come so far is not believed.
         """
         return await self._read_any(
             lambda: self._hub.store.read_newest(topic),
-            lambda peer: self._read_newest_of_box(peer, topic, least_end),
+            lambda peer: self._read_newest_of_box(peer, topic, min_end),
         )
 
     async def _read_any(self, read_store, read_box):
@@ -133,7 +133,7 @@
     async def _read_store(self, reading):
         """Read the store, unless another read finds that it is away."""
         sent = self._hub.clock()
-        reply = await self._wait(self._hub.place.box, reading)
+        reply = await self._wait(self._hub.deployment.box, reading)
         if reply is None:
             return store_module.Unavailable('the store: left', False)
         failed = isinstance(reply, store_module.Unavailable)
@@ -157,14 +157,14 @@
         rows = read_rows(answer)
         return store_module.Page(rows, answer.end, sent - answer.age)
 
-    async def _read_newest_of_box(self, peer, topic, least_end):
+    async def _read_newest_of_box(self, peer, topic, min_end):
         reply = await self._fetch(peer, NEWEST_PATH, {'topic': topic}, 0.0)
         if isinstance(reply, store_module.Unavailable):
             return reply
         answer, sent = reply
         if answer.gone:
             return self._reject(peer, 'it knows nothing')
-        if answer.end < least_end:
+        if answer.end < min_end:
             return self._reject(peer, f'it ends at {answer.end}')
         rows = read_rows(answer)
         return store_module.Newest(rows, answer.end, sent - answer.age)
@@ -235,7 +235,7 @@
     return tuple(tail_module.Record(*row) for row in answer.records)
 
 
-class Offer:
+class RecordServer:
     """Answers the boxes that read from this one.
 
     Parameters
@@ -251,7 +251,7 @@
         Bytes of keys and values that other boxes were answered.
     """
 
-    def __init__(self, is_cut, clock=uptime.read):
+    def __init__(self, is_cut, clock=boot_clock.read):
         self.relayed_bytes = 0
         self._is_cut = is_cut
         self._clock = clock
@@ -259,7 +259,7 @@
         self._changed = {}
 
     def add(self, topic, tail):
-        """Offer a topic."""
+        """RecordServer a topic."""
         self._tails[topic] = tail
         self._changed[topic] = asyncio.Event()
 
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from landingspool.decisions.gateway import fleet as fleet_module
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.platform import catalogue
 
 
-class Given(msgspec.Struct):
+class StateSnapshot(msgspec.Struct):
     """What one box gives another.
 
     Attributes
@@ -42,9 +42,9 @@
     targets: dict[str, bytes]
     targets_end: int
     evacuated: list[str] = []
-    endings: list[neighbours.CrashNotice] = []
-    limits: list[neighbours.LimitNotice] = []
-    leaving: list[neighbours.LeavingNotice] = []
+    endings: list[peer_digests.CrashNotice] = []
+    limits: list[peer_digests.LimitNotice] = []
+    leaving: list[peer_digests.LeavingNotice] = []
 
 
 class State:
@@ -86,11 +86,11 @@
                 proof_s=self._view.proof.age_to_log(self._hub.clock()),
             )
 
-    def give(self):
+    def get_snapshot(self):
         """Give what another box needs that can't reach the store."""
         versions = {m: n.version for m, n in self._view.weights.named.items()}
-        return Given(
-            proof_s=self._view.proof.age_to_tell(self._hub.clock()),
+        return StateSnapshot(
+            proof_s=self._view.proof.age_to_send(self._hub.clock()),
             table=self._table_value,
             versions=versions,
             targets=self.target_values,
@@ -163,9 +163,9 @@
     def _put_entry(self, entry, value):
         fleet = self._view.fleet
         known = entry.name in fleet.entries
-        before = fleet.find_life(entry.target)
+        before = fleet.get_incarnation(entry.target)
         state = self._view.put_entry(entry, self._hub.clock())
-        if state == fleet_module.OVER:
+        if state == fleet_module.SUPERSEDED:
             return
         self.target_values[entry.target] = value
         if before != entry.name:
@@ -204,7 +204,7 @@
         """Take a target off the list; gives the name of its life."""
         fleet = self._view.fleet
         self.target_values.pop(target, None)
-        name = fleet.find_life(target)
+        name = fleet.get_incarnation(target)
         if name in fleet.entries:
             self._hub.recorder.record(
                 'target_down', target=name, sure=not unsure
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -9,17 +9,17 @@
 
 import asyncio
 
-from landingspool.decisions.gateway import leftovers
+from landingspool.decisions.gateway import garbage
 from landingspool.decisions import ownership
 from landingspool.platform import boot
 from landingspool.platform import runners
 
 # Seconds between two looks, spread evenly between both.
-LOOK_S = 0.8, 2.4
+CHECK_PERIOD_S = 0.8, 2.4
 # Seconds between two whole lists of a store by its owner.  One in a hundred
 # events is lost, and parts that broke off are told of in lists alone; each
 # list is some ten kilobytes.
-LIST_S = 6.0
+LIST_PERIOD_S = 6.0
 # Seconds within which a part found broken off has to be freed: it must not
 # be one that somebody writes anew.
 FREE_S = 0.2
@@ -37,14 +37,14 @@
 
     def __init__(self, hub):
         self._hub = hub
-        self._leftovers = leftovers.Leftovers()
-        self._broken = leftovers.Broken()
+        self._leftovers = garbage.OldestVersions()
+        self._broken = garbage.IncompleteParts()
         self._listed = {}
 
     async def run(self):
         """Look and free until cancelled."""
         while True:
-            await asyncio.sleep(self._hub.view.rng.uniform(*LOOK_S))
+            await asyncio.sleep(self._hub.view.rng.uniform(*CHECK_PERIOD_S))
             owned = self._list_owned()
             self._forget_rooms(owned)
             for address in self._list_due(owned):
@@ -57,7 +57,7 @@
         view, now = self._hub.view, self._hub.clock()
         found = []
         for model in view.weights.named:
-            least = leftovers.find_least(
+            least = garbage.get_oldest_version(
                 model, view.fleet, view.list_services()
             )
             before = self._leftovers.record(model, least, now)
@@ -69,23 +69,26 @@
         """Free the parts of a model's versions before one in all stores."""
         view = self._hub.view
         table = view.table
-        if table is None or self._hub.peering.pick_watcher() is not None:
+        if (
+            table is None
+            or self._hub.peering.pick_store_follower() is not None
+        ):
             return
-        for address, keeper in table.keepers.items():
-            if keeper.managed:
+        for address, context_store in table.context_stores.items():
+            if context_store.managed:
                 await self._free(address, model, least)
 
     async def _free(self, address, model, least):
         """Free these parts in one store, as far as one call does."""
         view, now = self._hub.view, self._hub.clock()
-        index = view.warmth.get(address)
-        if index is None or not view.warmth.may_fetch(address, now):
+        index = view.context_index.get(address)
+        if index is None or not view.context_index.may_fetch(address, now):
             return
-        parts = leftovers.list_old(index.kept, model, least)
+        parts = garbage.list_stale(index.cached, model, least)
         if not parts or not self._hub.heartbeat.is_fresh(now):
             return
         age_s = now - index.confirmed
-        until_ms = index.clock_ms + (age_s + leftovers.ARRIVE_S) * 1000
+        until_ms = index.clock_ms + (age_s + garbage.CALL_TIMEOUT_S) * 1000
         done = await self._hub.runners.free(
             boot.parse_address(address), index.epoch, parts, until_ms
         )
@@ -98,12 +101,13 @@
         table = self._hub.view.table
         if table is None:
             return []
-        boxes = [self._hub.place.box, *self._hub.peering.peers]
+        boxes = [self._hub.deployment.box, *self._hub.peering.peers]
         return [
             address
-            for address, keeper in table.keepers.items()
-            if keeper.managed
-            and ownership.find_owner(address, boxes) == self._hub.place.box
+            for address, context_store in table.context_stores.items()
+            if context_store.managed
+            and ownership.find_owner(address, boxes)
+            == self._hub.deployment.box
         ]
 
     def _forget_rooms(self, owned):
@@ -121,13 +125,13 @@
         return [
             address
             for address in owned
-            if now - self._listed.get(address, -LIST_S) >= LIST_S
+            if now - self._listed.get(address, -LIST_PERIOD_S) >= LIST_PERIOD_S
         ]
 
     async def _check(self, address):
         """Read the whole list of a store, and free what broke off."""
-        hub, warmth = self._hub, self._hub.view.warmth
-        index = warmth.get(address)
+        hub, context_index = self._hub, self._hub.view.context_index
+        index = context_index.get(address)
         if index is None or index.clock_ms is None:
             return
         clock_ms, asked = index.clock_ms, index.confirmed
@@ -142,8 +146,10 @@
         if news.epoch != index.epoch:
             # A new life: who follows the store begins it.
             return
-        warmth.take(address, news._replace(clock_ms=clock_ms), sent, now)
-        index = warmth.get(address)
+        context_index.take(
+            address, news._replace(clock_ms=clock_ms), sent, now
+        )
+        index = context_index.get(address)
         hub.view.rooms[address] = index.epoch, index.taken
         parts = self._broken.record(address, index, now)
         if not parts:
@@ -153,7 +159,7 @@
             boot.parse_address(address), index.epoch, parts, until_ms
         )
         if done:
-            warmth.forget_unwhole(address, parts)
+            context_index.forget_incomplete(address, parts)
         hub.recorder.record(
             'swept_broken', store=address, parts=len(parts), done=done
         )
--- a/landingspool/gateway/hearing.py
+++ b/landingspool/gateway/target_notices.py
@@ -2,24 +2,24 @@
 
 import typing
 
-from landingspool.decisions.gateway import neighbours
-from landingspool.gateway import marks
+from landingspool.decisions.gateway import peer_digests
+from landingspool.gateway import crash_records
 from landingspool.platform import limits as field
 from landingspool.platform import notices as notices_module
 
 
-class Called(typing.NamedTuple):
+class SideCall(typing.NamedTuple):
     """A call beside the requests, as it goes out.
 
-    `lives` are the names of the lives at its address then: an answer says
+    `incarnations` are the names of the lives at its address then: an answer says
     nothing of a life that has begun since.
     """
 
-    lives: tuple
+    incarnations: tuple
     asked: float
 
 
-class Hearing:
+class TargetNotices:
     """What answers say of their targets, for the decisions and for the log.
 
     Parameters
@@ -33,7 +33,7 @@
         self._limits = hub.view.bars.limits
         self._unreadable = set()
         self._leaving = hub.view.bars.leaving
-        self._rests = hub.view.bars.rests
+        self._rests = hub.view.bars.backoffs
 
     def take(self, name, words, asked, certain=True):
         """Take in what an answer of a target says.
@@ -57,12 +57,12 @@
                 self._record_unreadable(name, title, word.text)
 
     def begin_call(self, address):
-        """Give the Called of a call to an address that goes out now."""
+        """Give the SideCall of a call to an address that goes out now."""
         entries = self._hub.view.fleet.entries.values()
-        lives = tuple(e.name for e in entries if e.address == address)
-        return Called(lives, self._hub.clock())
+        incarnations = tuple(e.name for e in entries if e.address == address)
+        return SideCall(incarnations, self._hub.clock())
 
-    def take_beside(self, called, words):
+    def take_answer(self, called, words):
         """Take in what the answer to a call beside the requests says.
 
         Whether such answers name each limit isn't said anywhere, so one
@@ -70,26 +70,26 @@
 
         Parameters
         ----------
-        called : Called
+        called : SideCall
         words : words.Notices
         """
-        for name in called.lives:
+        for name in called.incarnations:
             self.take(name, words, called.asked, certain=False)
 
-    def look(self):
+    def check(self):
         """Act on what is new, and log it by the names of the targets."""
         self._look_at_rests()
-        limits = marks.take_all(self._limits.fresh)
-        leaving = marks.take_all(self._leaving.fresh)
+        limits = crash_records.pop_all(self._limits.fresh)
+        leaving = crash_records.pop_all(self._leaving.fresh)
         if not limits and not leaving:
             return
-        lives = self._hub.view.fleet.list_lives()
-        names = {neighbours.code_target(name): name for name in lives}
+        incarnations = self._hub.view.fleet.list_incarnations()
+        names = {peer_digests.hash_target(name): name for name in incarnations}
         self._look_at_limits(limits, names)
         self._look_at_leaving(leaving, names)
 
     def _look_at_rests(self):
-        for asked in marks.take_all(self._rests.fresh):
+        for asked in crash_records.pop_all(self._rests.fresh):
             self._hub.recorder.record(
                 'rest_asked',
                 target=asked.name,
@@ -104,7 +104,7 @@
             self._hub.recorder.record(
                 'leaving_over' if known.is_over else 'leaving_told',
                 target=name,
-                told_by=known.box or self._hub.place.box,
+                told_by=known.box or self._hub.deployment.box,
                 age_s=round(self._hub.clock() - known.heard, 3),
             )
             entry = self._hub.view.fleet.entries.get(name)
@@ -121,7 +121,7 @@
                 'limit_named' if known.per_s else 'limit_over',
                 target=names.get(life, life),
                 per_s=known.per_s,
-                told_by=known.box or self._hub.place.box,
+                told_by=known.box or self._hub.deployment.box,
                 age_s=round(self._hub.clock() - known.heard, 3),
             )
 
@@ -133,10 +133,12 @@
         }
         now = self._hub.clock()
         named = self._limits.list_named(entries)
-        used = {name: self._limits.find_used(name, now) for name in named}
+        used = {
+            name: self._limits.compute_used_rate(name, now) for name in named
+        }
         self._hub.metrics.record_limits(named, used, now)
         self._hub.metrics.record_leaving(self.list_leaving(now))
-        self._hub.metrics.record_backoffs(self._rests.list_resting(now))
+        self._hub.metrics.record_backoffs(self._rests.list_backoffs(now))
 
     def list_leaving(self, now):
         """Give the seconds since listed targets said that they leave."""
@@ -154,17 +156,17 @@
         now = self._hub.clock()
         if isinstance(limit, field.AdvertisedLimit):
             self._limits.record_named(name, limit.per_s, asked, now)
-            self._hub.peering.hurry()
+            self._hub.peering.send_urgent_digest()
         elif isinstance(limit, field.Absent) and certain:
             self._limits.record_unnamed(name, asked, now)
 
     def _take_rest(self, name, rest):
         if isinstance(rest, notices_module.Backoff):
-            self._rests.record_asked(name, rest.seconds, self._hub.clock())
+            self._rests.record_backoff(name, rest.seconds, self._hub.clock())
 
     def _take_leaving(self, name, leaving):
         if isinstance(leaving, notices_module.Leaving):
-            self._leaving.record_told(name, self._hub.clock())
+            self._leaving.record_reported(name, self._hub.clock())
 
     def _record_unreadable(self, name, title, text):
         # One line for what a target says again and again.
--- a/landingspool/gateway/upstream.py
+++ b/landingspool/gateway/upstream.py
@@ -13,9 +13,9 @@
 import h11
 
 from landingspool.gateway import connection as connection_module
-from landingspool import patience
+from landingspool import timeouts
 from landingspool.platform import answers
-from landingspool import uptime
+from landingspool import boot_clock
 
 # Time-out for a new connection.  A round trip takes some ms.  A target that
 # is gone doesn't answer at all, and another one has to be tried within the
@@ -85,7 +85,7 @@
         Returns the boot-time clock, seconds.
     """
 
-    def __init__(self, metrics, clock=uptime.read):
+    def __init__(self, metrics, clock=boot_clock.read):
         self._metrics = metrics
         self._clock = clock
         self._idle = collections.defaultdict(collections.deque)
@@ -188,7 +188,7 @@
         """
         loop = asyncio.get_running_loop()
         try:
-            async with patience.Limit(CONNECT_TIMEOUT_S):
+            async with timeouts.Timeout(CONNECT_TIMEOUT_S):
                 transport, connection = await loop.create_connection(
                     connection_module.Connection, *address
                 )
--- a/landingspool/http.py
+++ b/landingspool/http.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from landingspool import patience
+from landingspool import timeouts
 
 MAX_HEADER_BYTES = 16 * 1024
 MAX_BODY_BYTES = 8 * 1024 * 1024
@@ -288,7 +288,7 @@
                 idle.discard(task)
             return event
         try:
-            async with patience.Limit(deadline - loop.time()):
+            async with timeouts.Timeout(deadline - loop.time()):
                 data = await reader.read(READ_BYTES)
         except TimeoutError:
             if idle is not None and task in idle:
--- a/landingspool/httpclient.py
+++ b/landingspool/httpclient.py
@@ -11,7 +11,7 @@
 import h11
 
 from landingspool import http
-from landingspool import patience
+from landingspool import timeouts
 
 IDLE_CONNECTIONS = 16
 CONNECT_TIMEOUT_S = 1.0
@@ -42,7 +42,7 @@
             call.fetch_whole(method, path, value, headers)
         )
         try:
-            await patience.wait_running(work, timeout)
+            await timeouts.wait_running(work, timeout)
             if not work.done():
                 raise http.Unreachable(f'{path}: no answer in time', call.sent)
             return work.result()
@@ -121,7 +121,7 @@
         if self._stream is not None:
             return
         try:
-            async with patience.Limit(CONNECT_TIMEOUT_S):
+            async with timeouts.Timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self._address)
         except (OSError, TimeoutError) as error:
             raise http.Unreachable(f'connect: {error}', False) from error
--- a/landingspool/ledger/claimer.py
+++ b/landingspool/ledger/claimer.py
@@ -12,7 +12,7 @@
 
 from landingspool.decisions import claims
 from landingspool.ledger import outcomes
-from landingspool import patience
+from landingspool import timeouts
 
 SETTLE_S = 2.5
 POLL_S = 0.05
@@ -102,7 +102,7 @@
         self._waiting[claim.claim] = future
         self._work.set()
         try:
-            async with patience.Limit(SETTLE_S):
+            async with timeouts.Timeout(SETTLE_S):
                 return await future
         except TimeoutError:
             self._give_up(claim)
--- a/landingspool/lines.py
+++ b/landingspool/log_sink.py
@@ -1,7 +1,7 @@
 """Log lines on standard output that never hold the process up.
 
 A reader that is slow costs lines, not requests: what does not fit into the
-pipe at once is left out and counted.  Lines on requests that went well are
+pipe at once is left out and counted.  LogSink on requests that went well are
 bounded in each second; all others are written.  One line a second tells how
 many were left out, so that a gap is never taken for silence.
 """
@@ -13,17 +13,17 @@
 
 from loguru import logger
 
-from landingspool import kinds
-from landingspool import uptime
+from landingspool import event_kinds
+from landingspool import boot_clock
 
-# Lines a second on requests that went well; a box of today's deployments
+# LogSink a second on requests that went well; a box of today's deployments
 # serves some 35 requests a second with two such lines each.
 USUAL_LINES_S = 150
 LEVEL_OF_USUAL = 'DEBUG'
-LEFT_OUT = kinds.CATALOGUE['left_out']
+LEFT_OUT = event_kinds.CATALOGUE['left_out']
 
 
-class Lines:
+class LogSink:
     """A sink for loguru.
 
     Parameters
@@ -35,7 +35,7 @@
     clock : callable, optional
         Gives monotonic seconds.
     usual : int, optional
-        Lines of the level DEBUG in each second.
+        LogSink of the level DEBUG in each second.
     wall : callable, optional
         Gives the seconds of the wall clock.
     """
@@ -44,7 +44,7 @@
         self,
         descriptor,
         box,
-        clock=uptime.read,
+        clock=boot_clock.read,
         usual=USUAL_LINES_S,
         wall=time.time,
     ):
@@ -110,7 +110,7 @@
     logger.remove()
     logger.configure(extra={'box': '-'})
     logger.add(
-        Lines(descriptor, box),
+        LogSink(descriptor, box),
         format='{message}',
         level=level,
         backtrace=False,
--- a/landingspool/operators/server.py
+++ b/landingspool/operators/server.py
@@ -57,8 +57,8 @@
         self._log = log
         self._key = settings.key
         self._drain = drain
-        core.relays[messages.Fetch] = follower.answer
-        core.relays[messages.Records] = self._take_records
+        core.message_handlers[messages.Fetch] = follower.answer
+        core.message_handlers[messages.Records] = self._take_records
 
     async def handle(self, request, exchange):
         """Answer one request of an operator or of a scraper."""
--- a/landingspool/platform/__main__.py
+++ b/landingspool/platform/__main__.py
@@ -7,17 +7,17 @@
 import sys
 
 from landingspool.gateway import hub as hub_module
-from landingspool import lines
+from landingspool import log_sink
 from landingspool.platform import boot
 from landingspool import settings
-from landingspool import uptime
+from landingspool import boot_clock
 
 BAD_SETTINGS = 2
 
 
-async def serve(place):
+async def serve(deployment):
     """Run one box until SIGTERM."""
-    hub = hub_module.Hub(place, int.from_bytes(os.urandom(8)))
+    hub = hub_module.Hub(deployment, int.from_bytes(os.urandom(8)))
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, hub.stop)
@@ -27,12 +27,14 @@
 
 def reload(hub):
     """Read the settings again and log what a restart would change."""
-    place, errors = boot.load(boot.find_path())
+    deployment, errors = boot.load(boot.find_path())
     for error in errors:
         hub.recorder.record(
             'bad_settings', reason=settings.format_error(error)
         )
-    changed = [] if place is None else list_changes(hub.place, place)
+    changed = (
+        [] if deployment is None else list_changes(hub.deployment, deployment)
+    )
     hub.recorder.record('reloaded', changed=changed)
 
 
@@ -47,16 +49,16 @@
 
 def main():
     """Run the box; returns the exit status."""
-    place, errors = boot.load(boot.find_path())
+    deployment, errors = boot.load(boot.find_path())
     for error in errors:
         print(settings.format_error(error), file=sys.stderr)
     if errors:
         return BAD_SETTINGS
-    lines.configure(place.box)
+    log_sink.configure(deployment.box)
     # Imported objects live as long as the process; the garbage collector
     # need not scan them.
     gc.freeze()
-    uptime.run(serve(place))
+    boot_clock.run(serve(deployment))
     return 0
 
 
--- a/landingspool/platform/catalogue.py
+++ b/landingspool/platform/catalogue.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from landingspool.decisions.gateway import coldness
+from landingspool.decisions.gateway import cold_targets
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import rollouts
 from landingspool.decisions.gateway import routes
 from landingspool.platform import boot
@@ -109,8 +109,8 @@
         health_path=row.get('health_path', ''),
         max_connections=int(row.get('max_connections', 64)),
         engine=read_engine(row.get('engine')),
-        keeper=read_context_store(row),
-        cold=coldness.Bound(
+        context_store=read_context_store(row),
+        cold=cold_targets.Bound(
             float(row.get('cold_start_s') or 0),
             float(row.get('cold_per_s') or 0),
         ),
@@ -135,7 +135,7 @@
     """Decode a store of cached context; None for other services."""
     if not row.get('kv_store_addr'):
         return None
-    return routes.Keeper(
+    return routes.ContextStore(
         address=row['kv_store_addr'],
         domain=row.get('zone', ''),
         capacity_tokens=int(row.get('kv_capacity', 0)),
@@ -233,7 +233,7 @@
     try:
         row = TARGET_DECODER.decode(value)
         return fleet.Entry(
-            name=fleet.Life(check_target_id(target), row.born).name,
+            name=fleet.Incarnation(check_target_id(target), row.born).name,
             service=row.service,
             address=read_address(row.address),
             domain=row.zone,
@@ -255,7 +255,11 @@
     ------
     ValueError
     """
-    if not target or fleet.LIFE_SIGN in target or not target.isascii():
+    if (
+        not target
+        or fleet.INCARNATION_SEPARATOR in target
+        or not target.isascii()
+    ):
         raise ValueError('not a valid id of a target')
     return target
 
@@ -303,7 +307,7 @@
 def read_crashes(key, value, wall_s):
     """Decode the crashes of targets under one request as CrashNotice.
 
-    >>> notice = neighbours.CrashNotice(b'f', 7, 500)
+    >>> notice = peer_digests.CrashNotice(b'f', 7, 500)
     >>> read_crashes('66', write_crashes([notice], 10.0), 12.0)
     [CrashNotice(fingerprint=b'f', life=7, age_ms=2500)]
 
@@ -314,7 +318,7 @@
     try:
         fingerprint = bytes.fromhex(key)
         return [
-            neighbours.CrashNotice(
+            peer_digests.CrashNotice(
                 fingerprint, int(life), max(int(wall_s * 1000) - int(at), 0)
             )
             for life, at in json.loads(value)
--- a/landingspool/platform/runners.py
+++ b/landingspool/platform/runners.py
@@ -4,7 +4,7 @@
 import json
 
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import warmth
+from landingspool.decisions.gateway import context_index
 from landingspool import http
 from landingspool.platform import catalogue
 from landingspool.platform import names
@@ -31,7 +31,7 @@
     born: int = 0
 
     def is_other_incarnation(self, incarnation):
-        """Return whether it is from another incarnation than a fleet.Life."""
+        """Return whether it is from another incarnation than a fleet.Incarnation."""
         return bool(
             self.born and incarnation.born and self.born != incarnation.born
         )
@@ -68,7 +68,7 @@
     client : httpclient.Client
     observer
         Receives the notices in the answers.  Has ``begin_call(address)``,
-        and ``take_beside(called, notices)``, which gets the result of the
+        and ``take_answer(called, notices)``, which gets the result of the
         former.
     """
 
@@ -120,7 +120,7 @@
         }
         headers = [
             ('content-type', 'application/json'),
-            (names.ONLY_TARGET, fleet.read_life(order.target).target),
+            (names.ONLY_TARGET, fleet.parse_incarnation(order.target).target),
         ]
         data = json.dumps(body).encode()
         reply = await self._call(
@@ -133,7 +133,7 @@
         return Refused(reply.status, reply.status == 412)
 
     async def read_events(self, address, since, hold_s):
-        """Read the cache events after `since`; a warmth.News or Unanswered."""
+        """Read the cache events after `since`; a warmth.CacheUpdate or Unanswered."""
         headers = [(names.WAIT, str(int(hold_s * 1000)))]
         path = f'{names.EVENTS_PATH}?since={since}'
         reply = await self._call(
@@ -142,7 +142,7 @@
         return read_cache_update(reply, read_event, 'events')
 
     async def read_list(self, address):
-        """Read the list of cached parts; a warmth.News or Unanswered."""
+        """Read the list of cached parts; a warmth.CacheUpdate or Unanswered."""
         reply = await self._call(address, 'GET', names.LIST_PATH)
         return read_cache_update(reply, read_listed, 'held')
 
@@ -180,7 +180,7 @@
         notices_found = notices.read_folded_notices(
             reply.status, reply.headers
         )
-        self._observer.take_beside(called, notices_found)
+        self._observer.take_answer(called, notices_found)
         return reply
 
 
@@ -192,7 +192,7 @@
         return Unanswered(f'status {reply.status}', True)
     try:
         row = reply.json()
-        return warmth.News(
+        return context_index.CacheUpdate(
             epoch=row['epoch'],
             # Position of the next call; a count of events, in spite of the
             # name of the field.
@@ -201,7 +201,7 @@
             changes=tuple(read_row(change) for change in row[field]),
             whole=field == 'held',
             clock_ms=row.get('clock_ms'),
-            unwhole=tuple(map(read_unwhole, row.get('partial') or ())),
+            incomplete=tuple(map(read_incomplete, row.get('partial') or ())),
         )
     except (ValueError, KeyError, TypeError, IndexError) as error:
         return Unanswered(f'{field}: {error!r}', True)
@@ -213,18 +213,20 @@
     >>> read_event([119, '+', 's1', '5c', 800, 'm'])
     Change(space='s1', part='5c', tokens=800)
     """
-    return warmth.Change(row[2], row[3], int(row[4]))
+    return context_index.Change(row[2], row[3], int(row[4]))
 
 
 def read_listed(row):
     """Decode one row of a list of cached parts."""
-    return warmth.Change(row[0], row[1], int(row[2]))
+    return context_index.Change(row[0], row[1], int(row[2]))
 
 
-def read_unwhole(row):
+def read_incomplete(row):
     """Decode one row of the incomplete parts in a list.
 
-    >>> read_unwhole(['s1', '5c', 100, 800])
-    Unwhole(space='s1', part='5c', tokens=100, room=800)
+    >>> read_incomplete(['s1', '5c', 100, 800])
+    IncompletePart(space='s1', part='5c', tokens=100, room=800)
     """
-    return warmth.Unwhole(row[0], row[1], int(row[2]), int(row[3]))
+    return context_index.IncompletePart(
+        row[0], row[1], int(row[2]), int(row[3])
+    )
--- a/landingspool/platform/store.py
+++ b/landingspool/platform/store.py
@@ -13,7 +13,7 @@
 from landingspool.decisions.gateway import tail
 from landingspool import http
 from landingspool.platform import names
-from landingspool import uptime
+from landingspool import boot_clock
 
 # Seconds for an answer, in addition to the hold time of a read.  The store
 # answers in 4 ms, and in a quarter of a second when it is slow.
@@ -93,7 +93,7 @@
         Number of calls by kind and topic; each call has a price.
     """
 
-    def __init__(self, client, address, clock=uptime.read):
+    def __init__(self, client, address, clock=boot_clock.read):
         self._client = client
         self._address = address
         self._clock = clock
--- a/landingspool/targets/client.py
+++ b/landingspool/targets/client.py
@@ -13,7 +13,7 @@
 from landingspool.decisions import blocks
 from landingspool.decisions import records
 from landingspool import http
-from landingspool import patience
+from landingspool import timeouts
 
 LOAD_TIMEOUT_S = 1.0
 ORDER_TIMEOUT_S = 1.0
@@ -151,7 +151,7 @@
         texts = self._call.read_events()
         while True:
             try:
-                async with patience.Limit(self._stall_s):
+                async with timeouts.Timeout(self._stall_s):
                     event = decode_event(await anext(texts))
             except StopAsyncIteration:
                 event = Cut('no end mark')
@@ -169,7 +169,7 @@
 
     async def _open(self, path, value):
         try:
-            async with patience.Limit(self._stall_s):
+            async with timeouts.Timeout(self._stall_s):
                 await self._call.send('POST', path, value)
                 if self._call.status == 200:
                     return None
@@ -272,7 +272,7 @@
     call = client.open(http.Address(member.host, member.port))
     value = {'epoch': order.epoch, 'version': order.version}
     try:
-        async with patience.Limit(ORDER_TIMEOUT_S):
+        async with timeouts.Timeout(ORDER_TIMEOUT_S):
             await call.connect(fresh=True)
             if not may_send():
                 return 0
--- a/landingspool/patience.py
+++ b/landingspool/timeouts.py
@@ -15,7 +15,7 @@
 AFTER_STALL_S = 0.1
 
 
-class Limit:
+class Timeout:
     """As asyncio.timeout, but by the time for which this process runs.
 
     Parameters
--- a/landingspool/timer.py
+++ b/landingspool/timer.py
@@ -13,7 +13,7 @@
 import typing
 
 from landingspool.decisions import timing
-from landingspool import uptime
+from landingspool import boot_clock
 
 # Period in which the clock is looked at, whoever else subscribes, seconds.
 BEAT_S = 0.1
@@ -53,7 +53,7 @@
         Waits for some seconds; tests hand in virtual time.
     """
 
-    def __init__(self, clock=uptime.read, sleep=asyncio.sleep):
+    def __init__(self, clock=boot_clock.read, sleep=asyncio.sleep):
         self.now = clock
         self._sleep = sleep
         self._tasks = []
@@ -95,7 +95,7 @@
         self.look()
         return not self._stalls or self._stalls[-1].now <= moment
 
-    def measure_run(self, since):
+    def measure_running_s(self, since):
         """Give the seconds since a moment for which this process ran."""
         now = self.look()
         lost = sum(
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -108,11 +108,11 @@
     tuple of (runner.Runner, str)
         The store and its address, host and port.
     """
-    keeper = runner_module.Runner('keeper')
-    await keeper.start()
-    keeper.events = events
-    host, port = keeper.address[:2]
-    return keeper, f'{host}:{port}'
+    context_store = runner_module.Runner('keeper')
+    await context_store.start()
+    context_store.events = events
+    host, port = context_store.address[:2]
+    return context_store, f'{host}:{port}'
 
 
 def find_port():
@@ -217,7 +217,7 @@
     """Start boxes and wait until each knows all others."""
     hubs = []
     for number in range(count):
-        seeds = [hub.place.links for hub in hubs]
+        seeds = [hub.deployment.links for hub in hubs]
         hubs.append(await deployment.start_box(f'box{number}', seeds))
     for hub in hubs:
         await wait_until(lambda hub=hub: len(hub.peering.peers) == count - 1)
@@ -249,7 +249,7 @@
 
 async def ask(hub, path, body=b'x', headers=(), key=KEY, method='POST'):
     """Send one request as a caller does and return what it got."""
-    call = httpclient.Client().open(hub.place.callers)
+    call = httpclient.Client().open(hub.deployment.callers)
     rows = [
         ('x-landingspool-request-id', f'id{next(NUMBERS)}'),
         ('x-landingspool-deadline-ms', '2500'),
@@ -274,7 +274,7 @@
 @contextlib.asynccontextmanager
 async def connect(hub):
     """Open a raw TCP connection to the callers' address of a box."""
-    reader, writer = await asyncio.open_connection(*hub.place.callers)
+    reader, writer = await asyncio.open_connection(*hub.deployment.callers)
     try:
         yield reader, writer
     finally:
--- a/tests/gateway/test_coldness.py
+++ b/tests/gateway/test_coldness.py
@@ -9,14 +9,14 @@
 
 import pytest
 
-from landingspool.decisions.gateway import coldness
+from landingspool.decisions.gateway import cold_targets
 from landingspool.decisions.gateway import fleet
 from landingspool.decisions.gateway import routes
 from landingspool.decisions.gateway import view as view_module
 from landingspool.gateway import deployment
 from tests.gateway import test_view
 
-BOUND = coldness.Bound(3.0, 18.0)
+BOUND = cold_targets.Bound(3.0, 18.0)
 MOST = 18.0 * 1.5 + 5.0
 TARGETS = 30
 
@@ -94,29 +94,29 @@
 
     Equal shares of 71 boxes under the bound of 32 would be none at all.
     """
-    quota = coldness.plan_quota(MOST)
+    quota = cold_targets.plan_quota(MOST)
     assert quota.permits * quota.requests >= 16
-    assert int(MOST // (coldness.LISTS * 71)) == 0
+    assert int(MOST // (cold_targets.LISTS * 71)) == 0
     sent = play(make_boxes(71), 2.9, 400.0)
     assert sum(map(len, sent.values())) / 2.9 > 190
 
 
 def test_a_target_counts_as_cold_after_it_came_back():
     view = make_box('box0', {'box0', 'box1'})
-    assert view.bars.coldness.find_left('t0', 13.1) == 0.0
+    assert view.bars.cold_targets.find_left('t0', 13.1) == 0.0
     view.record_unreached('t0', 14.0)
     view.record_back('t0', 15.0)
-    assert view.bars.coldness.find_left('t0', 15.0) == BOUND.seconds
+    assert view.bars.cold_targets.find_left('t0', 15.0) == BOUND.seconds
     view.bars.evacuation.put('d', 20.0)
     view.withdraw_evacuation('d', 25.0)
-    assert len(view.bars.coldness.list_cold(25.0)) == TARGETS
+    assert len(view.bars.cold_targets.list_cold(25.0)) == TARGETS
 
 
 def test_a_box_without_the_list_of_boxes_sends_nothing_to_cold_targets():
     view = test_view.make_view()
-    view.bars.coldness.record_told('t0', 2.0, 10.0)
-    assert view.bars.coldness.may_send('t0', coldness.Bound(), 10.0)
-    assert not view.bars.coldness.may_send('t0', BOUND, 10.0)
+    view.bars.cold_targets.record_reported('t0', 2.0, 10.0)
+    assert view.bars.cold_targets.may_send('t0', cold_targets.Bound(), 10.0)
+    assert not view.bars.cold_targets.may_send('t0', BOUND, 10.0)
     view.bars.shares.set_members('box', ('box',), 10.0)
-    assert not view.bars.coldness.may_send('t0', BOUND, 10.9)
-    assert view.bars.coldness.may_send('t0', BOUND, 11.1)
+    assert not view.bars.cold_targets.may_send('t0', BOUND, 10.9)
+    assert view.bars.cold_targets.may_send('t0', BOUND, 11.1)
