--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -23,8 +23,8 @@
 import itertools
 import random
 
-from landingspool.decisions.gateway import endings as endings_module
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import crashes as crashes_module
+from landingspool.decisions.gateway import peer_digests
 from standins import runner as runner_module
 from tests.gateway import site
 
@@ -125,13 +125,13 @@
         (hub,) = await site.start_boxes(deployment, 1)
         while engines.count_ends() < MOST_ENDS:
             await site.ask(hub, '/resumed/a', FATAL)
-        await site.wait_until(lambda: not hub.marks.list_due())
+        await site.wait_until(lambda: not hub.crash_records.list_due())
         deployment.hubs.remove(hub)
         await hub.peering.close()
         await site.wait_until(lambda: len(deployment.engines) == ENGINES)
         later = await deployment.start_box('later')
         await site.wait_until(
-            lambda: later.view.endings.list_barred(later.clock())
+            lambda: later.view.endings.list_quarantined(later.clock())
         )
         ends = engines.count_ends()
         got = await site.ask(later, '/resumed/a', FATAL)
@@ -166,7 +166,7 @@
 
 def test_each_of_many_boxes_hears_of_the_third_end_in_time():
     rng = random.Random(7)
-    boxes = [endings_module.Endings() for _ in range(MANY)]
+    boxes = [crashes_module.Crashes() for _ in range(MANY)]
     for number, name in enumerate(('a', 'b', 'c')):
         box = boxes[number * 60]
         for other in range(60):
@@ -175,12 +175,12 @@
         box.record_lost(b'fatal', name, 0.0)
     for number in range(ROUNDS):
         gossip(boxes, 0.2 * number, rng)
-    barred = sum(b'fatal' in box.list_barred(3.0) for box in boxes)
+    barred = sum(b'fatal' in box.list_quarantined(3.0) for box in boxes)
     assert barred == MANY
 
 
 def test_a_box_back_from_a_cut_hears_what_it_missed():
-    first, cut = endings_module.Endings(), endings_module.Endings()
+    first, cut = crashes_module.Crashes(), crashes_module.Crashes()
     for name in ('a', 'b', 'c'):
         first.record_lost(b'fatal', name, 0.0)
     for number in range(50):
@@ -188,7 +188,7 @@
     for number in range(5):
         for word in first.tell(10.0 + 0.2 * number):
             cut.take(word, 10.0 + 0.2 * number)
-    assert cut.list_barred(12.0) == [b'fatal']
+    assert cut.list_quarantined(12.0) == [b'fatal']
 
 
 def gossip(boxes, now, rng):
@@ -197,31 +197,31 @@
     for number, words in enumerate(told):
         others = [box for box in boxes if box is not boxes[number]]
         near, far = others[:64], others[64:]
-        for box in neighbours.pick_told(near, far, rng):
+        for box in peer_digests.pick_recipients(near, far, rng):
             if rng.random() >= LOST_SHARE:
                 for word in words:
                     box.take(word, now)
 
 
 def test_who_is_answered_whole_or_whose_targets_live_is_not_barred():
-    endings = endings_module.Endings()
+    endings = crashes_module.Crashes()
     for name in ('a', 'b', 'c'):
         endings.record_lost(b'whole', name, 1.0)
         endings.record_lost(b'cut', name, 1.0)
-    assert set(endings.list_barred(1.6)) == {b'whole', b'cut'}
+    assert set(endings.list_quarantined(1.6)) == {b'whole', b'cut'}
     endings.record_served(b'whole', 1.2)
     endings.record_alive('b', 1.3)
-    assert endings.list_barred(1.6) == []
+    assert endings.list_quarantined(1.6) == []
     # An older word that comes late brings nothing back.
     for name in ('a', 'b', 'c'):
-        life = neighbours.code_target(name)
-        endings.take(neighbours.CrashNotice(b'whole', life, 600), 1.5)
-        endings.take(neighbours.CrashNotice(b'cut', life, 500), 1.5)
-    assert endings.list_barred(1.6) == []
+        life = peer_digests.hash_target(name)
+        endings.take(peer_digests.CrashNotice(b'whole', life, 600), 1.5)
+        endings.take(peer_digests.CrashNotice(b'cut', life, 500), 1.5)
+    assert endings.list_quarantined(1.6) == []
 
 
 def test_a_word_that_takes_back_is_not_told_for_ever():
-    boxes = [endings_module.Endings() for _ in range(BOXES)]
+    boxes = [crashes_module.Crashes() for _ in range(BOXES)]
     boxes[0].record_lost(b'whole', 'a', 0.0)
     boxes[0].record_served(b'whole', 0.5)
     for number in range(3, 60):
@@ -235,7 +235,7 @@
 
 
 def test_a_target_that_is_back_under_its_id_has_ended_all_the_same():
-    endings = endings_module.Endings()
+    endings = crashes_module.Crashes()
     endings.record_lost(b'f', 'a', 1.0)
     endings.record_alive('a', 3.5)
     assert endings.count(b'f', 4.0) == 1
--- a/tests/gateway/test_evacuation.py
+++ b/tests/gateway/test_evacuation.py
@@ -118,17 +118,19 @@
     view = view_module.View(
         'd', deployment_module.Bounds(), 1, {'d': 'here', 'far': 'there'}
     )
-    keepers = [
+    context_stores = [
         routes.Service(
             name,
-            keeper=routes.Keeper(name, domain, 10**6, 1e6, 4, True, 0.0),
+            context_store=routes.ContextStore(
+                name, domain, 10**6, 1e6, 4, True, 0.0
+            ),
         )
         for name, domain in (('a:1', 'd'), ('b:1', 'far'))
     ]
     service = routes.Service('s', engine=test_view.ENGINE)
     view.put_table(
         routes.make_table(
-            1, [], [service, *keepers], {}, routes.Limits(), False
+            1, [], [service, *context_stores], {}, routes.Limits(), False
         )
     )
     for domain in ('d', 'far'):
@@ -164,10 +166,10 @@
 
 def test_context_is_kept_in_the_homes_of_a_request_alone(monkeypatch):
     view = make_regions()
-    monkeypatch.setattr(view.warmth, 'may_fetch', lambda *args: True)
-    monkeypatch.setattr(view.warmth, 'may_save', lambda *args: True)
+    monkeypatch.setattr(view.context_index, 'may_fetch', lambda *args: True)
+    monkeypatch.setattr(view.context_index, 'may_save', lambda *args: True)
     for address in ('a:1', 'b:1'):
-        view.warmth.add_read(address, 'other', (), 1.0)
+        view.context_index.add_read(address, 'other', (), 1.0)
     work = test_view.make_work()._replace(
         route=test_view.ROUTE._replace(regions=frozenset(['there']))
     )
@@ -179,7 +181,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         put(deployment)
-        hub.view.bars.coldness.record_told('p0', 9.0, hub.clock())
+        hub.view.bars.cold_targets.record_reported('p0', 9.0, hub.clock())
         wanted = b'evacuated_seconds{domain="d2"}'
         await site.wait_until(lambda: wanted in hub.metrics.render())
         assert b'gateway_cold_targets 1.0' in hub.metrics.render()
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -158,7 +158,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         await site.wait_until(lambda: 'p0' in hub.view.fleet.entries)
-        older = hub.state.give()
+        older = hub.state.get_snapshot()
         older = msgspec.structs.replace(older, targets=dict(older.targets))
         deployment.store.put('keyed.servers', 'p0', b'')
         await site.wait_until(lambda: 'p0' not in hub.view.fleet.entries)
@@ -176,7 +176,7 @@
         row = json.dumps(deployment.plain[0].entry('plain')).encode()
         old = tail.Record('late', row, 7)
         new = tail.Record('next', row, 9)
-        follower._take_page(store.Page((old, new), 10, hub.clock()))
+        follower._apply_page(store.Page((old, new), 10, hub.clock()))
         assert 'late' not in hub.view.fleet.entries
         assert 'next' in hub.view.fleet.entries
         assert hub.state.targets_end == 10
@@ -240,7 +240,7 @@
         for version in (5, 6, 7):
             deployment.publish(site.make_table(version))
         await site.wait_until(lambda: hub.view.table.version == 7)
-        span = hub.offer._tails['keyed.op'].read(start)
+        span = hub.record_server._tails['keyed.op'].read(start)
         (record,) = span.records
         assert json.loads(record.value)['version'] == 7
 
--- a/tests/gateway/test_leaving_words.py
+++ b/tests/gateway/test_leaving_words.py
@@ -57,9 +57,9 @@
         await hear_leaving(first, runner)
         known = len(runner.heads)
         await site.wait_until(lambda: second.view.bars.leaving.holds('p0'))
-        third = await deployment.start_box('box2', [first.place.links])
+        third = await deployment.start_box('box2', [first.deployment.links])
         await site.wait_until(lambda: third.view.bars.leaving.holds('p0'))
-        assert [word.life for word in first.state.give().leaving]
+        assert [word.life for word in first.state.get_snapshot().leaving]
         for hub in (second, third):
             got = await site.ask(hub, '/safe/a')
             assert got.status == 503
@@ -95,10 +95,10 @@
     async def check(deployment):
         hub = await deployment.start_box()
         (runner,) = deployment.engines
-        called = hub.hearing.begin_call(http.Address(*runner.address))
+        called = hub.target_notices.begin_call(http.Address(*runner.address))
         deployment.announce(runner, 'engine', model='m', born=BORN)
         await site.wait_until(lambda: 'e0' not in hub.view.fleet.entries)
-        assert called.lives == ('e0',)
+        assert called.incarnations == ('e0',)
         assert not hub.view.bars.leaving.holds(f'e0@{BORN}')
 
     site.run(check, plain=1, engines=1)
@@ -118,7 +118,7 @@
         hub.upstream.open = open_later
         work = asyncio.ensure_future(site.ask(hub, '/unsafe/a'))
         await asyncio.sleep(LATER_S / 2)
-        hub.view.bars.leaving.record_told('p0', hub.clock())
+        hub.view.bars.leaving.record_reported('p0', hub.clock())
         assert (await work).status == 503
         assert not runner.heads
 
@@ -150,7 +150,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         leaving, other = deployment.engines
-        hub.view.bars.leaving.record_told(leaving.name, hub.clock())
+        hub.view.bars.leaving.record_reported(leaving.name, hub.clock())
         deployment.store.put(
             'keyed.op', 'version/m', {'model': 'm', 'version': 2}
         )
@@ -168,7 +168,7 @@
         hub = await deployment.start_box()
         (runner,) = deployment.plain
         await hear_leaving(hub, runner)
-        hub.hearing.sweep()
+        hub.target_notices.sweep()
         lines = hub.metrics.render().decode().splitlines()
         (row,) = [
             line
--- a/tests/gateway/test_limit_load.py
+++ b/tests/gateway/test_limit_load.py
@@ -12,7 +12,7 @@
 import pytest
 
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import routes
 from landingspool.decisions.gateway import view as view_module
 from landingspool.gateway import deployment
@@ -123,9 +123,9 @@
         view = self.views[name]
         told = view.bars.limits.tell(now)
         number = next(self._ties)
-        digest = neighbours.Digest(name, 'd', number, {}, limits=told)
+        digest = peer_digests.Digest(name, 'd', number, {}, limits=told)
         others = [other for other in self.views if other != name]
-        for other in neighbours.pick_told(others, [], self.rng):
+        for other in peer_digests.pick_recipients(others, [], self.rng):
             if self.rng.random() >= LOST:
                 self._plan(now + WAY_S, self._take, other, digest)
 
--- a/tests/gateway/test_limit_words.py
+++ b/tests/gateway/test_limit_words.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from landingspool.decisions.gateway import limits as limits_module
-from landingspool.decisions.gateway import neighbours
+from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import shares
 from landingspool import http
 from landingspool.platform import limits as field
@@ -77,9 +77,9 @@
         (runner,) = deployment.plain
         runner.limit = '0.5'
         await site.ask(first, '/safe/a')
-        second = await deployment.start_box('box1', [first.place.links])
+        second = await deployment.start_box('box1', [first.deployment.links])
         await site.wait_until(lambda: second.view.bars.limits.find('p0'), 1.5)
-        given = first.state.give()
+        given = first.state.get_snapshot()
         assert [word.per_s for word in given.limits] == [0.5]
         got = await site.ask(second, '/safe/a')
         assert got.status == 503
@@ -105,11 +105,11 @@
     """The ages in a digest lack the time for which it was on its way."""
     limits = limits_module.Limits(shares.Shares())
     limits.record_named('t', 2.0, 9.9, 10.0)
-    life = neighbours.code_target('t')
+    life = peer_digests.hash_target('t')
     # Asked at 9.5, told at 9.7, and half a second on its way.
-    limits.take(neighbours.LimitNotice(life, 0.0, 200, 100), 'box', 10.2)
+    limits.take(peer_digests.LimitNotice(life, 0.0, 200, 100), 'box', 10.2)
     assert limits.find('t').per_s == 2.0
-    limits.take(neighbours.LimitNotice(life, 0.0, 200, 100), 'box', 11.3)
+    limits.take(peer_digests.LimitNotice(life, 0.0, 200, 100), 'box', 11.3)
     assert limits.find('t') is None
 
 
@@ -119,7 +119,7 @@
         (runner,) = deployment.plain
         runner.limit = '0.5'
         await site.ask(hub, '/safe/a')
-        hub.hearing.sweep()
+        hub.target_notices.sweep()
         lines = hub.metrics.render().decode().splitlines()
         rows = [line for line in lines if 'target="p0"' in line]
         figures = {row.split('{')[0][21:]: row.split()[1] for row in rows}
--- a/tests/gateway/test_lives.py
+++ b/tests/gateway/test_lives.py
@@ -7,7 +7,7 @@
 import pytest
 
 from landingspool.decisions.gateway import fleet
-from landingspool.decisions.gateway import warmth
+from landingspool.decisions.gateway import context_index
 from landingspool.platform import catalogue
 from landingspool.platform import store as store_module
 from tests.gateway import site
@@ -67,7 +67,7 @@
     view = test_view.make_view(0)
     view.put_entry(read(models=[{'name': 'm', 'version': 3}]), 1.0)
     view.put_entry(read(born=BORN + 5), 2.0)
-    name = view.fleet.find_life('t')
+    name = view.fleet.get_incarnation('t')
     assert view.fleet.get_version(name, 'm') == 1
 
 
@@ -78,18 +78,20 @@
     both.record_sent(plan, test_view.make_work(), 1.0)
     for view in (both, second):
         view.put_entry(read(born=BORN + 5), 2.0)
-    assert both.put_entry(read(state='draining'), 3.0) == fleet.OVER
+    assert both.put_entry(read(state='draining'), 3.0) == fleet.SUPERSEDED
     both.record_first(plan, test_view.make_work(), 3.0)
     both.record_loss(plan.entry.name, 3.0, certain=True)
     both.fleet.record_version(plan.entry.name, 'm', 9)
-    news = warmth.News(7, 3, False, (warmth.Change('m.1', 'a', 2500),))
-    both.warmth.take(plan.entry.name, news, 3.0, 3.0)
+    news = context_index.CacheUpdate(
+        7, 3, False, (context_index.Change('m.1', 'a', 2500),)
+    )
+    both.context_index.take(plan.entry.name, news, 3.0, 3.0)
     one, other = (
         view.plan(test_view.make_work('next'), (), 4.0)
         for view in (both, second)
     )
     assert one == other
-    assert one.kept == 0
+    assert one.cached == 0
 
 
 def test_a_reborn_target_serves_again_and_old_connections_are_not_used():
--- a/tests/gateway/test_ordering.py
+++ b/tests/gateway/test_ordering.py
@@ -31,7 +31,7 @@
 
 
 def test_a_claim_of_another_is_left_until_it_is_old():
-    watch = rollouts.Watch(LEASE_S)
+    watch = rollouts.ClaimWatch(LEASE_S)
     watch.record(rollouts.Claim('b', 3), 10.0)
     assert not watch.may_claim('a', 10.0 + LEASE_S)
     watch.record(rollouts.Claim('b', 4), 12.0)
@@ -41,7 +41,7 @@
 
 
 def test_an_older_claim_read_late_changes_nothing():
-    watch = rollouts.Watch(LEASE_S)
+    watch = rollouts.ClaimWatch(LEASE_S)
     watch.record(rollouts.Claim('b', 5), 10.0)
     watch.record(rollouts.Claim('a', 4), 11.0)
     assert not watch.may_claim('a', 11.0)
--- a/tests/gateway/test_reach.py
+++ b/tests/gateway/test_reach.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from landingspool.decisions.gateway import reach
+from landingspool.decisions.gateway import reachability
 from tests.gateway import site
 
 
@@ -53,7 +53,7 @@
         await site.wait_until(lambda: 'box1' in second.peering.peers)
         await deployment.plain[0].close()
         for name in ('p0', 'p1'):
-            for _ in range(reach.TOLD_AFTER):
+            for _ in range(reachability.TOLD_AFTER):
                 first.prober.record_failed(name, 'told by the test')
         # It finds one of them dark, and the other one well.
         await site.wait_until(
@@ -65,7 +65,7 @@
 
 
 def test_tries_grow_rarer_and_never_end():
-    known = reach.Reach()
+    known = reachability.Reachability()
     now, pauses = 10.0, []
     for _ in range(6):
         known.record_failed('t', now)
@@ -74,7 +74,7 @@
             now += 0.1
         pauses.append(now - before)
     assert pauses[0] < pauses[1] < pauses[2]
-    assert max(pauses) < reach.MOST_RETRY_S + 0.2
+    assert max(pauses) < reachability.MOST_RETRY_S + 0.2
 
 
 def test_where_all_targets_are_out_they_are_tried_all_the_same():
@@ -98,14 +98,14 @@
         gone = deployment.plain[0]
         host, port = gone.address[:2]
         await gone.close()
-        for _ in range(reach.TOLD_AFTER):
+        for _ in range(reachability.TOLD_AFTER):
             for hub in hubs:
                 hub.prober.record_failed('p0', 'told by the test')
         await asyncio.sleep(1.5)
         counts = [count_probes(hub) for hub in hubs]
         await asyncio.sleep(3.0)
         probing = [
-            hub.place.box
+            hub.deployment.box
             for hub, before in zip(hubs, counts, strict=True)
             if count_probes(hub) > before
         ]
--- a/tests/gateway/test_readers.py
+++ b/tests/gateway/test_readers.py
@@ -39,7 +39,8 @@
     )
     await site.wait_until(
         lambda: all(
-            h.view.warmth.kept(address).get(('m.1', 'aa')) == 500 for h in hubs
+            h.view.context_index.cached(address).get(('m.1', 'aa')) == 500
+            for h in hubs
         )
     )
 
@@ -52,7 +53,7 @@
 
     async def main():
         async with site.Site(plain=1) as deployment:
-            keeper, address = await site.start_keeper(list(KEPT))
+            context_store, address = await site.start_keeper(list(KEPT))
             deployment.publish(site.make_store_table(2, address))
             hubs = await start_boxes(deployment, **wide)
             members = [h for h in hubs if h.peering.pick_reader() is not None]
@@ -70,7 +71,7 @@
                 for hub in members
                 for name in hub.store.calls
             )
-            await keeper.close()
+            await context_store.close()
 
     asyncio.run(main())
 
@@ -155,7 +156,7 @@
             hubs = await start_boxes(deployment)
             members = [h for h in hubs if h.peering.pick_reader() is not None]
             first = members[0].peering.pick_reader().name
-            cut = next(h for h in hubs if h.place.box == first)
+            cut = next(h for h in hubs if h.deployment.box == first)
             others = [h for h in hubs if h is not cut]
             await asyncio.sleep(1.0)
             cut_off(cut)
@@ -195,7 +196,7 @@
             end = deployment.store.topic('keyed.servers').end
             # Whom it asks lacks the record that it already has.
             for hub in hubs:
-                hub.offer._tails['keyed.servers'].end = end - 1
+                hub.record_server._tails['keyed.servers'].end = end - 1
             reading = member.sources.read('keyed.servers', end, 0.1)
             reply = await asyncio.wait_for(reading, 3.0)
             assert not isinstance(reply, store.Forgotten)
@@ -214,14 +215,14 @@
             hubs = await start_boxes(deployment)
             member = next(h for h in hubs if h.peering.pick_reader())
             peer = member.peering.pick_reader()
-            end = member.offer._tails['keyed.servers'].end
+            end = member.record_server._tails['keyed.servers'].end
             reading = asyncio.ensure_future(
                 member.sources.read('keyed.servers', end, 2.4)
             )
             await asyncio.sleep(0.1)
             # The one asked keeps the news back until its hold is over.
-            asked = next(h for h in hubs if h.place.box == peer.name)
-            asked.offer.wake = lambda topic: None
+            asked = next(h for h in hubs if h.deployment.box == peer.name)
+            asked.record_server.wake = lambda topic: None
             member.peering.shun(peer.name, 'for a test')
             deployment.announce(deployment.plain[0], 'plain', state='draining')
             reply = await asyncio.wait_for(reading, 0.2)
--- a/tests/gateway/test_rest_words.py
+++ b/tests/gateway/test_rest_words.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from landingspool.decisions.gateway import rests as rests_module
+from landingspool.decisions.gateway import backoffs as backoffs_module
 from landingspool import http
 from landingspool.platform import limits as field
 from landingspool.platform import notices
@@ -11,7 +11,7 @@
 
 # Seconds of rest, with the part by which a rest may be prolonged.
 REST_S = 0.6
-SPREAD_S = REST_S * rests_module.SPREAD
+SPREAD_S = REST_S * backoffs_module.SPREAD
 MARGIN_S = 0.1
 BORN = 1_700_000_000_000
 
@@ -23,13 +23,13 @@
 
 
 def test_no_shorter_rest_and_no_success_ends_a_longer_one():
-    rests = rests_module.Rests(random.Random(1))
-    rests.record_asked('t', 4.0, 10.0)
-    rests.record_asked('t', 0.5, 10.1)
-    rests.record_answered('t', 9.9)
-    rests.record_answered('t', 10.6)
-    assert not rests.may_send('t', 13.9)
-    assert rests.may_send('t', 14.5)
+    backoffs = backoffs_module.Backoffs(random.Random(1))
+    backoffs.record_backoff('t', 4.0, 10.0)
+    backoffs.record_backoff('t', 0.5, 10.1)
+    backoffs.record_answered('t', 9.9)
+    backoffs.record_answered('t', 10.6)
+    assert not backoffs.may_send('t', 13.9)
+    assert backoffs.may_send('t', 14.5)
 
 
 def test_any_bytes_are_one_line_and_no_rest():
@@ -39,7 +39,7 @@
         texts = 'nan', 'inf', '9' * 400, '', '-1', '1e3', '\xe9;'
         for text in texts:
             assert (await hear_rest(hub, runner, text)).status == 503
-            assert hub.view.bars.rests.may_send('p0', hub.clock())
+            assert hub.view.bars.backoffs.may_send('p0', hub.clock())
             # Avoided as one that turns requests away without a word.
             hub.view.forget('p0')
         assert hub.recorder.counts['bad_word'] == 1
@@ -81,10 +81,10 @@
     async def check(deployment):
         hub = await deployment.start_box()
         long, short = deployment.plain
-        rests = hub.view.bars.rests
+        backoffs = hub.view.bars.backoffs
         long.usual = short.usual = 'shed'
         long.rest, short.rest = '9', '2'
-        while len(rests.list_resting(hub.clock())) < 2:
+        while len(backoffs.list_backoffs(hub.clock())) < 2:
             await site.ask(hub, '/unsafe/a')
         got = [await site.ask(hub, '/unsafe/a') for _ in range(6)]
         times = [float(answer.headers['retry-after']) for answer in got]
@@ -206,7 +206,7 @@
         runner.script, runner.rest = ['shed'], str(REST_S)
         await site.ask(hub, '/stream/a')
         assert not view.may_call('e0', hub.clock())
-        assert [e.name for e in view.list_ordered('m')] == ['e0']
+        assert [e.name for e in view.list_loadable('m')] == ['e0']
         await asyncio.sleep(REST_S + SPREAD_S + MARGIN_S)
         assert view.may_call('e0', hub.clock())
 
@@ -218,7 +218,7 @@
         hub = await deployment.start_box()
         (runner,) = deployment.plain
         await hear_rest(hub, runner)
-        hub.hearing.sweep()
+        hub.target_notices.sweep()
         lines = hub.metrics.render().decode().splitlines()
         (row,) = [
             line
--- a/tests/gateway/test_standstill.py
+++ b/tests/gateway/test_standstill.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from landingspool import uptime
+from landingspool import boot_clock
 from tests.gateway import site
 
 # Longer than the bound for keys (5 s), so that no proof is valid after it.
@@ -30,7 +30,7 @@
         async with site.Site(**kinds) as deployment:
             await test(deployment)
 
-    uptime.run(main())
+    boot_clock.run(main())
 
 
 def count_ran(deployment):
@@ -137,11 +137,11 @@
         await site.wait_until(lambda: count_ran(deployment) == len(works))
         suspend(STALL_S)
         hub.timer.look()
-        assert hub.view.neighbours.list_heard(hub.clock()) == ['box1']
+        assert hub.view.neighbours.list_fresh_peers(hub.clock()) == ['box1']
         answers = await asyncio.gather(*works)
         assert [a.status for a in answers] == [200] * len(works)
         for entry in hub.view.fleet.entries.values():
             assert hub.view.get_health(entry.name).wait_s < STALL_S / 2
-        assert hub.view.lateness.measure('engine', hub.clock()) < 1.0
+        assert hub.view.latency.measure('engine', hub.clock()) < 1.0
 
     run(check)
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from landingspool import uptime
+from landingspool import boot_clock
 from tests.gateway import site
 
 # Length of the suspension: longer than the bound for keys, five seconds.
@@ -49,4 +49,4 @@
             await check()
         return time.monotonic() - began
 
-    assert uptime.run(measure()) < SUSPENDED_S / 2
+    assert boot_clock.run(measure()) < SUSPENDED_S / 2
--- a/tests/gateway/test_sweeper.py
+++ b/tests/gateway/test_sweeper.py
@@ -3,7 +3,7 @@
 import asyncio
 import itertools
 
-from landingspool.decisions.gateway import leftovers
+from landingspool.decisions.gateway import garbage
 from landingspool.decisions import ownership
 from landingspool.gateway import registry
 from landingspool.gateway import sweeper
@@ -14,11 +14,11 @@
 
 async def start(deployment):
     """Start a box and a store of kept context that it follows."""
-    keeper, address = await site.start_keeper(list(KEPT))
+    context_store, address = await site.start_keeper(list(KEPT))
     deployment.publish(site.make_store_table(2, address))
     hub = await deployment.start_box()
-    await site.wait_until(lambda: hub.view.warmth.kept(address))
-    return hub, keeper
+    await site.wait_until(lambda: hub.view.context_index.cached(address))
+    return hub, context_store
 
 
 def load(deployment, *engines):
@@ -29,94 +29,102 @@
 
 
 def test_parts_go_a_time_after_the_last_target_left_their_weights(monkeypatch):
-    monkeypatch.setattr(leftovers, 'FREE_AFTER_S', 1.0)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(garbage, 'FREE_AFTER_S', 1.0)
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
-        hub, keeper = await start(deployment)
+        hub, context_store = await start(deployment)
         first, second = deployment.engines
         load(deployment, first)
         await asyncio.sleep(1.5)
-        assert not keeper.freed
+        assert not context_store.freed
         load(deployment, second)
         await asyncio.sleep(0.6)
-        assert not keeper.freed
-        await site.wait_until(lambda: keeper.freed == [('m.1', 'aa')], 2.0)
-        await keeper.close()
+        assert not context_store.freed
+        await site.wait_until(
+            lambda: context_store.freed == [('m.1', 'aa')], 2.0
+        )
+        await context_store.close()
 
     site.run(check)
 
 
 def test_a_target_that_comes_back_on_old_weights_begins_the_wait_anew():
-    known = leftovers.Leftovers()
+    known = garbage.OldestVersions()
     assert known.record('m', 2, 10.0) is None
     assert known.record('m', 1, 12.0) is None
     assert known.record('m', 2, 13.0) is None
-    assert known.record('m', 2, 13.0 + leftovers.FREE_AFTER_S - 0.1) is None
-    assert known.record('m', 2, 13.0 + leftovers.FREE_AFTER_S) == 2
+    assert known.record('m', 2, 13.0 + garbage.FREE_AFTER_S - 0.1) is None
+    assert known.record('m', 2, 13.0 + garbage.FREE_AFTER_S) == 2
 
 
 def test_a_store_in_another_life_frees_nothing(monkeypatch):
-    monkeypatch.setattr(leftovers, 'FREE_AFTER_S', 0.2)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(garbage, 'FREE_AFTER_S', 0.2)
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
-        _, keeper = await start(deployment)
+        _, context_store = await start(deployment)
         monkeypatch.setitem(
             site.runner_module.CALLS,
             '/api/kv-events',
             lambda runner, body: (503, {}),
         )
-        keeper.epoch += 1
+        context_store.epoch += 1
         load(deployment, *deployment.engines)
         await asyncio.sleep(1.0)
-        assert not keeper.freed
-        await keeper.close()
+        assert not context_store.freed
+        await context_store.close()
 
     site.run(check)
 
 
 def test_parts_that_broke_off_are_freed_by_one_box(monkeypatch):
-    monkeypatch.setattr(leftovers, 'BROKEN_S', 0.5)
-    monkeypatch.setattr(sweeper, 'LIST_S', 0.3)
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(garbage, 'INCOMPLETE_S', 0.5)
+    monkeypatch.setattr(sweeper, 'LIST_PERIOD_S', 0.3)
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
-        hub, keeper = await start(deployment)
+        hub, context_store = await start(deployment)
         second = await deployment.start_box('box2')
         await site.wait_until(lambda: 'box2' in hub.peering.peers)
         await site.wait_until(lambda: 'box1' in second.peering.peers)
-        keeper.partial = [['m.1', 'half', 100, 800], ['m.1', 'go', 1, 800]]
+        context_store.partial = [
+            ['m.1', 'half', 100, 800],
+            ['m.1', 'go', 1, 800],
+        ]
         for written in range(2, 20):
             await asyncio.sleep(0.1)
-            keeper.partial[-1][2] = written
-        assert keeper.freed == [('m.1', 'half')]
-        (address,) = hub.view.table.keepers
+            context_store.partial[-1][2] = written
+        assert context_store.freed == [('m.1', 'half')]
+        (address,) = hub.view.table.context_stores
         # Both know of the room that the part under way takes.
         await site.wait_until(
             lambda: all(
-                h.view.warmth.get(address).beyond == 800 for h in (hub, second)
+                h.view.context_index.get(address).extra == 800
+                for h in (hub, second)
             )
         )
-        await keeper.close()
+        await context_store.close()
 
     site.run(check)
 
 
 def test_a_store_that_another_box_owns_now_is_told_of_no_more(monkeypatch):
-    monkeypatch.setattr(sweeper, 'LOOK_S', (0.05, 0.1))
+    monkeypatch.setattr(sweeper, 'CHECK_PERIOD_S', (0.05, 0.1))
 
     async def check(deployment):
-        hub, keeper = await start(deployment)
-        (address,) = hub.view.table.keepers
+        hub, context_store = await start(deployment)
+        (address,) = hub.view.table.context_stores
         await site.wait_until(lambda: address in hub.view.rooms)
         name = next(
             name
             for name in map('box{}'.format, itertools.count(2))
             if ownership.find_owner(address, ['box1', name]) == name
         )
-        hub.peering.peers[name] = registry.Peer(name, keeper.address, 'd1')
+        hub.peering.peers[name] = registry.Peer(
+            name, context_store.address, 'd1'
+        )
         await site.wait_until(lambda: not hub.view.rooms)
-        await keeper.close()
+        await context_store.close()
 
     site.run(check)
--- a/tests/gateway/test_turned_away.py
+++ b/tests/gateway/test_turned_away.py
@@ -70,7 +70,7 @@
         passed = asyncio.get_running_loop().time() - start
         for hub in hubs:
             if hub.view.table.version == 5 or passed > most_s:
-                late.setdefault(hub.place.box, round(passed, 2))
+                late.setdefault(hub.deployment.box, round(passed, 2))
         await asyncio.sleep(0.01)
     return late
 
@@ -117,7 +117,7 @@
         hubs = await start_boxes(deployment, BOXES)
         await asyncio.sleep(SETTLED_S)
         for name in RANKED[:mute]:
-            hubs[name].offer.answer_records = answer_late
+            hubs[name].record_server.answer_records = answer_late
         # What was asked before is still answered.
         await asyncio.sleep(readers.plan_ages(BOUND_S).chained_s + 0.1)
         late = await measure_lateness(
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -6,7 +6,7 @@
 from landingspool.decisions.gateway import prompts
 from landingspool.decisions.gateway import routes
 from landingspool.decisions.gateway import view as view_module
-from landingspool.decisions.gateway import warmth
+from landingspool.decisions.gateway import context_index
 from landingspool.gateway import deployment
 
 ROUTE = routes.Route('r', 'h', '/', routes.STREAM, 9.0, 0.4, 1, ())
@@ -165,9 +165,9 @@
         routes.make_table(2, [ROUTE], [service], {}, routes.Limits(), False)
     )
     view.boxes = 8
-    assert view.find_kept('s') * view.boxes <= 96 / 2
+    assert view.get_connection_limit('s') * view.boxes <= 96 / 2
     view.boxes = 85
-    assert view.find_kept('s') == 1
+    assert view.get_connection_limit('s') == 1
 
 
 def test_a_target_is_left_for_the_first_version_that_it_missed():
@@ -205,16 +205,20 @@
 
 def test_nothing_is_saved_for_weights_that_are_being_replaced():
     view = make_view(2)
-    keeper = routes.Keeper('k:1', 'd', 90_000, 1000.0, 4, True, 0.0)
+    context_store = routes.ContextStore(
+        'k:1', 'd', 90_000, 1000.0, 4, True, 0.0
+    )
     service = routes.Service('s', engine=ENGINE)
-    store = routes.Service('k', keeper=keeper)
+    store = routes.Service('k', context_store=context_store)
     view.put_table(
         routes.make_table(
             2, [ROUTE], [service, store], {}, routes.Limits(), False
         )
     )
-    news = warmth.News(1, 0, False, (warmth.Change('m.1', 'z', 500),), True)
-    view.warmth.take('k:1', news._replace(clock_ms=5000.0), 9.9, 10.0)
+    news = context_index.CacheUpdate(
+        1, 0, False, (context_index.Change('m.1', 'z', 500),), True
+    )
+    view.context_index.take('k:1', news._replace(clock_ms=5000.0), 9.9, 10.0)
     view.weights.put_version('m', 1, 9.0)
     assert view.plan(make_work(), (), 10.0).transfer.save == ('k:1', '')
     view.weights.put_version('m', 2, 10.1)
@@ -252,10 +256,10 @@
     for entry in list(view.fleet.entries.values()):
         view.fleet.put(entry._replace(slots=64))
     for read in (30_000, 9_000):
-        view.partition.record(read, 10.0)
-    view.partition.record(9_000 // 4, 10.0)
+        view.engine_split.record(read, 10.0)
+    view.engine_split.record(9_000 // 4, 10.0)
     entries = view.fleet.list_service('s')
-    names = view.partition.pick(600, entries)
+    names = view.engine_split.pick(600, entries)
     assert 0 < len(names) < 5
     short = prompts.Prompt('m', 600, 5, (prompts.Part('own', 600),))
     for name in names:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from landingspool import kinds
+from landingspool import event_kinds
 
 CORE = sorted(pathlib.Path('landingspool/decisions').rglob('*.py'))
 FORBIDDEN = {
@@ -62,14 +62,14 @@
 def test_every_recorded_event_is_in_the_catalogue():
     for path in pathlib.Path('landingspool').rglob('*.py'):
         for name in list_recorded(path):
-            assert name in kinds.CATALOGUE, f'{path}: {name}'
+            assert name in event_kinds.CATALOGUE, f'{path}: {name}'
 
 
 def test_numbers_of_the_catalogue_are_unique():
-    numbers = [kind.number for kind in kinds.CATALOGUE.values()]
+    numbers = [kind.number for kind in event_kinds.CATALOGUE.values()]
     assert len(set(numbers)) == len(numbers)
 
 
 def test_event_document_is_what_the_catalogue_says():
     text = pathlib.Path('docs/events.md').read_text()
-    assert kinds.describe_catalogue() in text
+    assert event_kinds.describe_catalogue() in text
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -4,7 +4,7 @@
 import os
 
 from landingspool.command import logs
-from landingspool import lines
+from landingspool import log_sink
 
 
 class Message(str):
@@ -36,7 +36,7 @@
 def test_a_full_pipe_costs_lines_and_not_time():
     read_end, write_end = os.pipe()
     clock = Clock()
-    sink = lines.Lines(write_end, 'b', clock)
+    sink = log_sink.LogSink(write_end, 'b', clock)
     line = 'x' * 4095 + '\n'
     for _ in range(100):
         sink.write(Message(line, 'INFO'))
@@ -57,7 +57,7 @@
 def test_usual_lines_are_bounded_and_failures_are_not():
     read_end, write_end = os.pipe()
     clock = Clock()
-    sink = lines.Lines(write_end, 'b', clock, usual=5)
+    sink = log_sink.LogSink(write_end, 'b', clock, usual=5)
     for _ in range(20):
         sink.write(Message('usual\n', 'DEBUG'))
         sink.write(Message('failed\n', 'INFO'))
@@ -77,6 +77,6 @@
 def test_a_reader_that_went_away_is_no_error():
     read_end, write_end = os.pipe()
     os.close(read_end)
-    sink = lines.Lines(write_end, 'b', Clock())
+    sink = log_sink.LogSink(write_end, 'b', Clock())
     sink.write(Message('x\n', 'INFO'))
     assert sink.lost == 1
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -124,7 +124,7 @@
         """Start a box as a process."""
         loop = loop_module.Loop(self.now)
         client = network.Client(self, name)
-        outside = box_module.Outside(
+        outside = box_module.Environment(
             client, loop.time, lambda: WALL + loop.time()
         )
         settings = self._make_settings(name, domain, policy or {})
