--- a/landingspool/decisions/gateway/loads.py
+++ b/landingspool/decisions/gateway/loads.py
@@ -97,7 +97,7 @@
         Parameters
         ----------
         peer_load : tuple of float
-            Requests of other boxes there, as neighbours.PeerDigests.get_load.
+            Requests of other boxes there, as PeerDigests.get_load returns.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
@@ -134,7 +134,7 @@
         return waiting, len(rows) - waiting
 
     def list_told(self):
-        """Return this box's requests at each target, as in neighbours.Digest.
+        """Return this box's requests at each target, as in a Digest.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -173,7 +173,7 @@
 
         Parameters
         ----------
-        export : keeper.Export
+        export : kv_offload.Export
         block : records.Block or None
             The sealed block; None if the write failed.
         shares : dict of str to float
--- a/landingspool/gateway/cache_follower.py
+++ b/landingspool/gateway/cache_follower.py
@@ -203,7 +203,7 @@
         return all(read)
 
     async def _fetch_changes(self, peer, stores):
-        """Return a peer's CacheUpdate by store, or None if it gave no answer."""
+        """Return a peer's CacheUpdate by store, or None without an answer."""
         known = self._hub.view.context_index
         positions = {name: known.get_position(name) for name in stores}
         try:
--- a/landingspool/gateway/crash_records.py
+++ b/landingspool/gateway/crash_records.py
@@ -57,11 +57,11 @@
     def take(self, record):
         """Apply a record of any box; an empty value lifts a quarantine."""
         now = self._hub.clock()
-        key = record.key.removeprefix(names.ENDINGS_KEY)
+        key = record.key.removeprefix(names.CRASHES_KEY)
         self._written[key] = record.value
         try:
             if record.value:
-                notices = catalogue.read_endings(
+                notices = catalogue.read_crashes(
                     key, record.value, self._hub.wall()
                 )
             else:
@@ -107,7 +107,7 @@
             ages_ms=[notice.age_ms for notice in notices],
         )
         wall = self._hub.wall()
-        self._put(fingerprint, catalogue.write_endings(notices, wall))
+        self._put(fingerprint, catalogue.write_crashes(notices, wall))
 
     def _put(self, fingerprint, value):
         key = fingerprint.hex()
@@ -124,7 +124,7 @@
             await asyncio.sleep(min(left_s, TURN_S))
         elif not self._is_written(key, write.value):
             reply = await self._hub.store.append(
-                names.CLAIMS_TOPIC, f'{names.ENDINGS_KEY}{key}', write.value
+                names.CLAIMS_TOPIC, f'{names.CRASHES_KEY}{key}', write.value
             )
             if isinstance(reply, store_module.Unavailable):
                 await self._hub.sources.wait_answered(MAX_WAIT_S)
--- a/landingspool/gateway/following.py
+++ b/landingspool/gateway/following.py
@@ -331,7 +331,7 @@
         self._watch.end = page.end
 
     def _apply(self, record):
-        if record.key.startswith(names.ENDINGS_KEY):
+        if record.key.startswith(names.CRASHES_KEY):
             self._hub.crash_records.take(record)
             return
         try:
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -255,7 +255,9 @@
             )
         report = await self._hub.runners.report(entry.address)
         if isinstance(report, runners.Report):
-            if report.is_other_life(fleet.parse_incarnation(entry.name)):
+            if report.is_other_incarnation(
+                fleet.parse_incarnation(entry.name)
+            ):
                 return runners.Unanswered('the target has restarted', True)
             version = report.versions.get(order.model)
             if version is not None:
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -28,11 +28,11 @@
         End offset of their topic for the box that sends them.
     evacuated : list of str
         The evacuated failure domains.
-    endings : list of neighbours.CrashNotice
+    endings : list of peer_digests.CrashNotice
         The requests that crashed targets.
-    limits : list of neighbours.LimitNotice
+    limits : list of peer_digests.LimitNotice
         The limits that targets advertise.
-    leaving : list of neighbours.LeavingNotice
+    leaving : list of peer_digests.LeavingNotice
         The targets that have announced that they leave.
     """
 
--- a/landingspool/gateway/target_notices.py
+++ b/landingspool/gateway/target_notices.py
@@ -154,14 +154,14 @@
 
     def _apply_limit(self, name, limit, asked, certain):
         now = self._hub.clock()
-        if isinstance(limit, field.Named):
+        if isinstance(limit, field.AdvertisedLimit):
             self._limits.record_named(name, limit.per_s, asked, now)
             self._hub.peering.send_urgent_digest()
-        elif isinstance(limit, field.Unnamed) and certain:
+        elif isinstance(limit, field.Absent) and certain:
             self._limits.record_unnamed(name, asked, now)
 
     def _apply_backoff(self, name, rest):
-        if isinstance(rest, notices_module.Rest):
+        if isinstance(rest, notices_module.Backoff):
             self._backoffs.record_backoff(
                 name, rest.seconds, self._hub.clock()
             )
--- a/landingspool/stores/client.py
+++ b/landingspool/stores/client.py
@@ -54,7 +54,7 @@
     Returns
     -------
     Contents or None
-        Rows are pairs of a pool's name and a keeper.Listed.
+        Rows are pairs of a pool's name and a kv_offload.Listed.
     """
     address = http.Address(member.host, member.port)
     try:
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -128,7 +128,7 @@
 def test_a_leaving_mark_is_for_ever_and_a_lapse_is_not():
     targets = fleet.Fleet()
     targets.put(make_entry())
-    targets.drop('t', 10.0, unsure=True)
+    targets.drop('t', 10.0, unconfirmed=True)
     assert targets.list_service('s')
     assert targets.tick(10.0 + fleet.GRACE_S) == ['t']
     assert not targets.list_service('s')
@@ -142,7 +142,7 @@
     targets = fleet.Fleet()
     targets.put(make_entry('t'))
     targets.put(make_entry('u'))
-    targets.drop('t', 10.0, unsure=True)
+    targets.drop('t', 10.0, unconfirmed=True)
     assert [e.name for e in targets.list_service('s')] == ['u']
 
 
