--- a/landingspool/command/__init__.py
+++ b/landingspool/command/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool."""
+"""The command-line tool for operators."""
--- a/landingspool/command/base.py
+++ b/landingspool/command/base.py
@@ -1,4 +1,4 @@
-"""What all commands of the tool share: where to ask, how to print."""
+"""Base of the tool's commands: connection options, output, exit codes."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 FAILED = 1
 BAD_INPUT = 2
 CONFLICT = 3
-NOT_HEARD = 4
+NO_ANSWER = 4
 
 BOXES_VARIABLE = 'LANDINGSPOOL_BOXES'
 KEY_VARIABLE = 'LANDINGSPOOL_KEY'
@@ -22,24 +22,25 @@
     option(
         'boxes',
         'b',
-        "Operators' addresses, HOST:PORT,... "
-        f'(default: the variable {BOXES_VARIABLE}).',
+        'Addresses of boxes for operators, HOST:PORT,... '
+        f'(default: environment variable {BOXES_VARIABLE}).',
         flag=False,
     ),
     option('json', None, 'Print JSON.', flag=True),
 ]
 
 
-class Base(command.Command):
-    """A command that asks boxes.
+class RemoteCommand(command.Command):
+    """Base class of commands that call boxes.
 
-    Subclasses give ``async act(remote)`` and return an exit status.
+    Subclasses define ``async run_async(client)``, which returns the exit
+    status.
     """
 
     options = REMOTE_OPTIONS
 
     def handle(self):
-        """Run the command; a failure is one line and a status."""
+        """Run the command; report a failure as one line and an exit status."""
         text = self.option('boxes') or os.environ.get(BOXES_VARIABLE, '')
         key = os.environ.get(KEY_VARIABLE, '')
         if not text or not key:
@@ -48,30 +49,30 @@
             )
             return BAD_INPUT
         try:
-            boxes = remote.Remote(remote.parse_boxes(text), key)
-            return asyncio.run(self.act(boxes))
-        except remote.Failure as error:
+            client = remote.FleetClient(remote.parse_boxes(text), key)
+            return asyncio.run(self.run_async(client))
+        except remote.RemoteError as error:
             self.line_error(str(error))
             return FAILED
         except OSError as error:
             self.line_error(f'{error.filename}: {error.strerror}')
             return BAD_INPUT
 
-    async def act(self, boxes):
-        """Do the work; given by each command."""
+    async def run_async(self, client):
+        """Run the command and return its exit status; subclasses define it."""
         raise NotImplementedError
 
-    def show(self, value, headers, rows):
-        """Print JSON where it is wanted, else a table."""
+    def print_table(self, value, headers, rows):
+        """Print `value` as JSON with --json, else `rows` as a table."""
         if self.option('json'):
             self.line(json.dumps(value, indent=2))
             return
         cells = [[str(cell) for cell in row] for row in rows]
         self.render_table(list(headers), cells, style='compact')
 
-    def refuse(self, problems):
-        """Print what is wrong with a draft; returns the status."""
+    def print_problems(self, problems):
+        """Print the problems of a draft and return the exit status."""
         for problem in problems:
-            place = f'line {problem.line}: ' if problem.line else ''
-            self.line_error(place + problem.text)
+            prefix = f'line {problem.line}: ' if problem.line else ''
+            self.line_error(prefix + problem.text)
         return BAD_INPUT
--- a/landingspool/command/draft.py
+++ b/landingspool/command/draft.py
@@ -1,8 +1,8 @@
-"""A draft of the table as a CSV file, as spreadsheets read and write it.
+"""Drafts of the configuration table as CSV files, for use in spreadsheets.
 
-Flat functions turn text into rows and errors; nothing is sent from here.
-The column `revision` holds what each row was based on, so that a publish
-can tell when another operator was faster.
+The functions here convert text to rows and problems; none of them does I/O.
+The column `revision` holds the revision that each row was based on, so that
+a publish detects that another operator has changed the row since then.
 """
 
 import csv
@@ -13,7 +13,7 @@
 from landingspool.decisions import records
 
 COLUMNS = records.Row._fields
-CONVERT = {
+CONVERTERS = {
     'workspace': str,
     'weight': float,
     'share': float,
@@ -25,7 +25,7 @@
 
 
 class Problem(typing.NamedTuple):
-    """What is wrong in a draft, by line."""
+    """A problem in a draft; line 0 if it belongs to no line of the file."""
 
     line: int
     text: str
@@ -41,7 +41,7 @@
 
 
 def read_rows(text):
-    """Read rows from CSV text.
+    """Parse the rows of CSV text.
 
     Returns
     -------
@@ -52,8 +52,8 @@
     'columns missing'
     """
     reader = csv.DictReader(io.StringIO(text, newline=''))
-    wanted = [name for name in COLUMNS if name != 'revision']
-    missing = [n for n in wanted if n not in (reader.fieldnames or ())]
+    expected = [name for name in COLUMNS if name != 'revision']
+    missing = [n for n in expected if n not in (reader.fieldnames or ())]
     if missing:
         return [], [Problem(1, f'columns missing: {", ".join(missing)}')]
     rows, problems = [], []
@@ -66,17 +66,17 @@
 
 
 def read_row(line, values):
-    """Read one row; returns (Row or None, list of Problem)."""
+    """Convert and check one row; returns (Row or None, list of Problem)."""
     fields, problems = {}, []
-    for name, convert in CONVERT.items():
+    for name, convert in CONVERTERS.items():
         text = (values.get(name) or '').strip()
         if name == 'revision' and not text:
             text = '0'
         try:
             fields[name] = convert(text)
         except ValueError:
-            wanted = convert.__name__
-            problem = Problem(line, f'{name} = {text!r}: expected {wanted}')
+            type_name = convert.__name__
+            problem = Problem(line, f'{name} = {text!r}: expected {type_name}')
             problems.append(problem)
     if problems:
         return None, problems
@@ -85,11 +85,11 @@
     return row, [Problem(line, problem.text) for problem in found]
 
 
-def write_rows(rows):
-    """Give the CSV text of rows.
+def format_rows(rows):
+    """Return the CSV text of rows.
 
     >>> row = records.Row('a', 1.0, 0.5, 4, 0, 'ff', 7)
-    >>> print(write_rows([row]), end='')
+    >>> print(format_rows([row]), end='')
     workspace,weight,share,limit,priority,key_hash,revision
     a,1.0,0.5,4,0,ff,7
     """
@@ -101,7 +101,7 @@
 
 
 def compare(draft, table):
-    """List the changes that a draft makes to the table in force.
+    """List the changes that a draft would make to the table in force.
 
     Parameters
     ----------
@@ -122,12 +122,13 @@
 
 
 def rebase(draft, table):
-    """Give the draft with the revisions of the table in force.
+    """Return the draft with the revisions of the table in force.
 
-    For rows that come from elsewhere and have no revision of their own.
+    This is for rows from another source, which have no revisions.  A row
+    that is not in the table gets revision 0.
     """
-    known = {row.workspace: row.revision for row in table}
-    return [r._replace(revision=known.get(r.workspace, 0)) for r in draft]
+    revisions = {row.workspace: row.revision for row in table}
+    return [r._replace(revision=revisions.get(r.workspace, 0)) for r in draft]
 
 
 def set_columns(row, changes):
@@ -137,7 +138,7 @@
     ----------
     row : records.Row
     changes : list of str
-        Each ``column=value``.
+        Each has the form ``column=value``.
 
     Returns
     -------
@@ -147,7 +148,7 @@
     problems = []
     for change in changes:
         name, equals, value = change.partition('=')
-        if not equals or name not in CONVERT:
+        if not equals or name not in CONVERTERS:
             text = f'{change!r}: expected column=value with one of '
             problems.append(Problem(0, text + ', '.join(COLUMNS)))
         else:
@@ -157,7 +158,7 @@
 
 
 def make_publish(changes):
-    """Give the fields of a publish for a list of changes."""
+    """Return the fields of a publish request for a list of changes."""
     rows = [c.after for c in changes if c.after is not None]
     removed = [c for c in changes if c.after is None]
     bases = [row.revision for row in rows]
--- a/landingspool/command/logs.py
+++ b/landingspool/command/logs.py
@@ -1,4 +1,4 @@
-"""Reads events out of collected log lines, for an engineer without a box."""
+"""Reads events from collected log files, without calling any box."""
 
 import json
 import sys
@@ -8,32 +8,33 @@
 STANDARD_INPUT = '-'
 
 
-def read_events(paths, wanted):
-    """Read the events in log files that match.
+def read_events(paths, filters):
+    """Read the events in log files that match `filters`.
 
     Parameters
     ----------
     paths : sequence of str
-        Files; ``-`` is standard input.
-    wanted : dict
-        Field names and values; ``since`` in seconds of the wall clock.
+        Names of files; ``-`` is standard input.
+    filters : dict
+        Required values by field name.  ``since`` is the earliest time, in
+        seconds of the wall clock.
 
     Returns
     -------
     list of events.Event
-        Of all boxes, in one order.
+        Events of all boxes, merged in order of their stamps.
     """
-    wanted = dict(wanted)
-    since = wanted.pop('since', 0.0)
-    found = []
+    filters = dict(filters)
+    since = filters.pop('since', 0.0)
+    matches = []
     for path in paths:
         for line in read_lines(path):
             event = parse_line(line)
             if event is None or event.stamp[0] < since * 1000:
                 continue
-            if events.match_fields(event, wanted):
-                found.append(event)
-    return events.merge_events([found])
+            if events.match_fields(event, filters):
+                matches.append(event)
+    return events.merge_events([matches])
 
 
 def read_lines(path):
@@ -46,7 +47,7 @@
 
 
 def parse_line(line):
-    """Give the event of a line, or None; what stands before it is skipped.
+    """Return the event in a line, or None; text before the JSON is skipped.
 
     >>> parse_line('12:00 b {"t":1.5,"box":"b","n":204,"event":"dispatched"}')
     Event(stamp=(1500, 0), box='b', number=204, name='dispatched', fields={})
--- a/landingspool/command/remote.py
+++ b/landingspool/command/remote.py
@@ -1,4 +1,4 @@
-"""Speaks to the operators' side of the boxes, for the tool."""
+"""Client of the operators' HTTP interface of boxes, for the tool."""
 
 import asyncio
 import typing
@@ -10,12 +10,12 @@
 STATUS_TIMEOUT_S = 2.0
 
 
-class Failure(Exception):
-    """A box could not be asked, or refused; holds a text for people."""
+class RemoteError(Exception):
+    """A call to a box failed or was refused; the message is for operators."""
 
 
-class Reached(typing.NamedTuple):
-    """The status of one box, or why there is none."""
+class BoxReply(typing.NamedTuple):
+    """The answer of one box, or the reason why there is none."""
 
     name: str
     domain: str
@@ -24,7 +24,7 @@
 
 
 def parse_boxes(text):
-    """Read addresses from ``host:port,host:port``.
+    """Parse addresses of the form ``host:port,host:port``.
 
     >>> parse_boxes('127.0.0.1:80')
     [Address(host='127.0.0.1', port=80)]
@@ -33,19 +33,21 @@
     for part in text.split(','):
         host, colon, port = part.strip().rpartition(':')
         if not colon or not port.isdigit():
-            raise Failure(f'{part!r}: expected HOST:PORT')
+            raise RemoteError(f'{part!r}: expected HOST:PORT')
         addresses.append(http.Address(host, int(port)))
     return addresses
 
 
-class Remote:
-    """The boxes that a call of the tool works with.
+class FleetClient:
+    """Calls the boxes of a fleet.
 
     Parameters
     ----------
     addresses : list of http.Address
-        Operators' side of one box or more; the first that answers serves.
+        Operators' addresses of one or more boxes.  `call` uses the first
+        box that answers.
     key : str
+        Bearer key of the operators.
     """
 
     def __init__(self, addresses, key):
@@ -53,20 +55,20 @@
         self._headers = [('authorization', f'Bearer {key}')]
         self._client = httpclient.Client()
 
-    async def ask(self, method, path, value=None):
-        """Ask the first box that answers; returns the decoded answer."""
+    async def call(self, method, path, value=None):
+        """Call the first box that answers; returns the decoded answer."""
         problems = []
         for address in self._addresses:
             try:
-                return await self.ask_at(address, method, path, value)
+                return await self.call_box(address, method, path, value)
             except http.Unreachable as error:
                 problems.append(f'{address.host}:{address.port}: {error}')
                 if error.sent and method != 'GET':
                     break
-        raise Failure('no box answered: ' + '; '.join(problems))
+        raise RemoteError('no box answered: ' + '; '.join(problems))
 
-    async def ask_at(self, address, method, path, value=None, seconds=None):
-        """Ask one box; raises Failure where it refuses."""
+    async def call_box(self, address, method, path, value=None, seconds=None):
+        """Call one box; raises RemoteError if its status is not 200."""
         reply = await self._client.fetch(
             address,
             method,
@@ -78,28 +80,28 @@
         try:
             decoded = reply.json()
         except ValueError:
-            raise Failure(f'{path}: the answer is not JSON') from None
+            raise RemoteError(f'{path}: response body is not JSON') from None
         if reply.status != 200:
-            raise Failure(f'{path}: status {reply.status}: {decoded}')
+            raise RemoteError(f'{path}: status {reply.status}: {decoded}')
         return decoded
 
     async def list_boxes(self):
-        """List the boxes that the first one knows, as dicts."""
-        status = await self.ask('GET', '/admin/status')
+        """List the boxes that the first box to answer knows, as dicts."""
+        status = await self.call('GET', '/admin/status')
         return status['boxes']
 
-    async def ask_all(self, path):
-        """Ask all boxes; returns a list of Reached."""
+    async def call_all(self, path):
+        """Call all boxes; returns a list of BoxReply."""
         boxes = await self.list_boxes()
-        calls = [self._reach(box, path) for box in boxes]
+        calls = [self._get_reply(box, path) for box in boxes]
         return await asyncio.gather(*calls)
 
-    async def _reach(self, box, path):
+    async def _get_reply(self, box, path):
         address = http.Address(box['host'], box['operators_port'])
         try:
-            status = await self.ask_at(
+            status = await self.call_box(
                 address, 'GET', path, seconds=STATUS_TIMEOUT_S
             )
-            return Reached(box['name'], box['domain'], status, '')
-        except (http.Unreachable, Failure) as error:
-            return Reached(box['name'], box['domain'], None, str(error))
+            return BoxReply(box['name'], box['domain'], status, '')
+        except (http.Unreachable, RemoteError) as error:
+            return BoxReply(box['name'], box['domain'], None, str(error))
--- a/landingspool/command/state.py
+++ b/landingspool/command/state.py
@@ -1,4 +1,4 @@
-"""Commands that show and steer the fleet: status, timeline, drain, check."""
+"""Commands on the fleet: status, timeline, explain, drain and check."""
 
 import time
 
@@ -17,7 +17,7 @@
     'logs',
     'l',
     'Read collected log lines, FILE,... or - for standard input, '
-    'and ask no box.',
+    'and call no box.',
     flag=False,
 )
 TARGET_HEADERS = (
@@ -32,33 +32,35 @@
 )
 
 
-class Status(base.Base):
-    """status"""
+class Status(base.RemoteCommand):
+    """Command `status`: print the state of boxes and targets."""
 
     name = 'status'
-    description = 'Show boxes, domains, targets, versions, what is in force.'
-
-    async def act(self, boxes):
-        """Ask all boxes and print what they say."""
-        reached = await boxes.ask_all('/admin/status')
-        rows = [list_box(box) for box in reached]
-        value = [box._asdict() for box in reached]
-        self.show(value, STATUS_HEADERS, rows)
+    description = (
+        'Show boxes, domains, targets, versions and offsets in force.'
+    )
+
+    async def run_async(self, client):
+        """Call all boxes and print their state and their targets."""
+        replies = await client.call_all('/admin/status')
+        rows = [make_box_row(reply) for reply in replies]
+        value = [reply._asdict() for reply in replies]
+        self.print_table(value, STATUS_HEADERS, rows)
         if not self.option('json'):
             targets = [
                 [target[name] for name in TARGET_HEADERS]
-                for box in reached
-                if box.status
-                for target in box.status['targets']
+                for reply in replies
+                if reply.status
+                for target in reply.status['targets']
             ]
             self.line('')
-            self.show(targets, TARGET_HEADERS, sorted(targets))
-        silent = [box for box in reached if box.status is None]
-        return base.NOT_HEARD if silent else base.OK
+            self.print_table(targets, TARGET_HEADERS, sorted(targets))
+        missing = [reply for reply in replies if reply.status is None]
+        return base.NO_ANSWER if missing else base.OK
 
 
-class Timeline(base.Base):
-    """timeline"""
+class Timeline(base.RemoteCommand):
+    """Command `timeline`: print the events of all boxes in one order."""
 
     name = 'timeline'
     description = 'Show the events of all boxes in one order.'
@@ -72,120 +74,126 @@
     ]
 
     def handle(self):
-        """Read logs where they are given, else ask the boxes."""
+        """Read the logs if --logs is given, else call the boxes."""
         if not self.option('logs'):
             return super().handle()
         try:
             rows = logs.read_events(
-                self.option('logs').split(','), self.list_wanted()
+                self.option('logs').split(','), self.get_filters()
             )
         except OSError as error:
             self.line_error(f'{error.filename}: {error.strerror}')
             return base.BAD_INPUT
-        return self.show_found(rows)
+        return self.print_matches(rows)
 
-    async def act(self, boxes):
-        """Gather, merge, print."""
-        return self.show_found(await gather_events(boxes, self.list_wanted()))
+    async def run_async(self, client):
+        """Fetch the events of all boxes and print them in order."""
+        return self.print_matches(
+            await gather_events(client, self.get_filters())
+        )
 
-    def list_wanted(self):
-        """Give the fields that the events have to hold."""
-        wanted = {
+    def get_filters(self):
+        """Return the field values that an event must have to be printed."""
+        filters = {
             name: self.option(name)
             for name in ('request', 'workspace', 'target')
             if self.option(name)
         }
         if self.option('since'):
-            wanted['since'] = time.time() - float(self.option('since'))
-        return wanted
+            filters['since'] = time.time() - float(self.option('since'))
+        return filters
 
-    def show_found(self, rows):
-        """Print the events; returns the status."""
-        self.show_events(rows)
+    def print_matches(self, rows):
+        """Print the events and return the exit status."""
+        self.print_events(rows)
         return base.OK if rows else base.FAILED
 
-    def show_events(self, rows):
+    def print_events(self, rows):
         """Print events in order."""
         value = [event._asdict() for event in rows]
-        cells = [list_event(event) for event in rows]
-        self.show(value, ('time', 'box', 'event', 'fields'), cells)
+        cells = [make_event_row(event) for event in rows]
+        self.print_table(value, ('time', 'box', 'event', 'fields'), cells)
 
 
 class Explain(Timeline):
-    """explain"""
+    """Command `explain`: print the events of one request and a summary."""
 
     name = 'explain'
-    description = 'Show what was decided about one request, and why.'
+    description = 'Show the decisions on one request, and their reasons.'
     arguments = [
         argument('request', 'WORKSPACE/REQUEST-ID, or a relayed request ID.')
     ]
     options = [*base.REMOTE_OPTIONS, LOGS_OPTION]
 
-    def list_wanted(self):
-        """Give the fields that the events have to hold."""
+    def get_filters(self):
+        """Return the field values that an event must have to be printed."""
         return {'request': self.argument('request')}
 
-    def show_found(self, rows):
-        """Print the events of the request and a summary."""
-        status = super().show_found(rows)
+    def print_matches(self, rows):
+        """Print the events of the request and a summary line."""
+        status = super().print_matches(rows)
         if rows and not self.option('json'):
             self.line(summarize(rows))
         return status
 
 
-class Drain(base.Base):
-    """drain"""
+class Drain(base.RemoteCommand):
+    """Command `drain`: start a planned stop of a box."""
 
     name = 'drain'
-    description = 'Stop a box as planned; it finishes what it has begun.'
+    description = (
+        'Start a planned stop of a box; it finishes its open requests.'
+    )
     arguments = [argument('box', 'Name of the box.')]
 
-    async def act(self, boxes):
-        """Find the box and tell it."""
+    async def run_async(self, client):
+        """Find the box by its name and ask it to drain."""
         name = self.argument('box')
-        known = {box['name']: box for box in await boxes.list_boxes()}
+        known = {box['name']: box for box in await client.list_boxes()}
         box = known.get(name)
         if box is None:
-            self.line_error(f'{name}: not among {", ".join(sorted(known))}')
+            self.line_error(
+                f'{name}: not among the boxes {", ".join(sorted(known))}'
+            )
             return base.BAD_INPUT
         address = http.Address(box['host'], box['operators_port'])
         try:
-            await boxes.ask_at(address, 'POST', '/admin/drain')
+            await client.call_box(address, 'POST', '/admin/drain')
         except http.Unreachable as error:
             self.line_error(f'{name}: {error}')
-            return base.NOT_HEARD
+            return base.NO_ANSWER
         self.line(f'{name} is draining')
         return base.OK
 
 
 class Check(command.Command):
-    """check"""
+    """Command `check`: print all errors of a settings file."""
 
     name = 'check'
-    description = 'Check a settings file; shows all errors at once.'
+    description = 'Check a settings file and show all of its errors.'
     arguments = [argument('settings', 'Path of the TOML file.')]
 
     def handle(self):
-        """Check and print."""
+        """Check the file and print its errors."""
         _, errors = settings.load(self.argument('settings'))
         for error in errors:
             self.line_error(settings.format_error(error))
         if errors:
             return base.BAD_INPUT
-        self.line('the settings are right')
+        self.line('the settings are valid')
         return base.OK
 
 
-async def gather_events(boxes, wanted):
-    """Gather the events of all boxes, in order."""
-    query = '&'.join(f'{name}={value}' for name, value in wanted.items())
-    reached = await boxes.ask_all(f'/admin/events?{query}')
-    rings = [
-        [events.Event(**row) for row in box.status['events']]
-        for box in reached
-        if box.status
+async def gather_events(client, filters):
+    """Fetch the matching events of all boxes, in order of their stamps."""
+    query = '&'.join(f'{name}={value}' for name, value in filters.items())
+    replies = await client.call_all(f'/admin/events?{query}')
+    events_by_box = [
+        [events.Event(**row) for row in reply.status['events']]
+        for reply in replies
+        if reply.status
     ]
-    return events.merge_events(rings)
+    return events.merge_events(events_by_box)
 
 
 FINAL_EVENTS = (
@@ -198,14 +206,14 @@
 )
 
 
-def list_box(reached):
-    """Give the row of one box."""
-    status = reached.status
+def make_box_row(reply):
+    """Return the cells of one box in the table of `status`."""
+    status = reply.status
     if status is None:
-        return [reached.domain, reached.name, 'not heard', '', '', '', '']
+        return [reply.domain, reply.name, 'not heard', '', '', '', '']
     return [
-        reached.domain,
-        reached.name,
+        reply.domain,
+        reply.name,
         status['state'],
         status['offset'],
         status['open'],
@@ -214,8 +222,8 @@
     ]
 
 
-def list_event(event):
-    """Give the row of one event."""
+def make_event_row(event):
+    """Return the cells of one event in the table of `timeline`."""
     seconds, millis = divmod(event.stamp[0], 1000)
     clock = time.strftime('%H:%M:%S', time.localtime(seconds))
     fields = ' '.join(f'{k}={v}' for k, v in event.fields.items())
@@ -224,7 +232,7 @@
 
 
 def summarize(rows):
-    """Give one sentence on a request from its events.
+    """Return a summary line of a request from its events.
 
     >>> row = events.Event((1, 0), 'b', 204, 'dispatched', {'target': 't'})
     >>> summarize([row])
@@ -233,10 +241,12 @@
     targets = [
         event.fields['target'] for event in rows if event.name == 'dispatched'
     ]
-    where = f'dispatched to {", ".join(targets)}' if targets else 'not sent'
-    ends = [event for event in rows if event.name in FINAL_EVENTS]
-    if not ends:
-        return f'{where}; no final event was found'
-    last = ends[-1]
+    dispatches = (
+        f'dispatched to {", ".join(targets)}' if targets else 'not sent'
+    )
+    final_events = [event for event in rows if event.name in FINAL_EVENTS]
+    if not final_events:
+        return f'{dispatches}; no final event was found'
+    last = final_events[-1]
     fields = ', '.join(f'{k} {v}' for k, v in last.fields.items())
-    return f'{where}; {last.name}: {fields}'
+    return f'{dispatches}; {last.name}: {fields}'
--- a/landingspool/command/tables.py
+++ b/landingspool/command/tables.py
@@ -1,4 +1,4 @@
-"""Commands on the operators' table: `landingspool table ...`."""
+"""Commands on the configuration table: `landingspool table ...`."""
 
 import asyncio
 import getpass
@@ -17,27 +17,27 @@
 from landingspool.decisions import identity
 from landingspool.decisions import records
 
-FORCE_WAIT_S = 18.0
-FORCE_POLL_S = 0.25
-FILE = argument('file', 'CSV file of the draft.')
+IN_FORCE_TIMEOUT_S = 18.0
+IN_FORCE_POLL_S = 0.25
+FILE_ARGUMENT = argument('file', 'CSV file of the draft.')
 
 
-async def fetch_table(boxes):
-    """Give the rows in force and the whole answer."""
-    table = await boxes.ask('GET', '/admin/table')
+async def fetch_table(client):
+    """Fetch the table; returns its rows and the complete answer."""
+    table = await client.call('GET', '/admin/table')
     return [records.Row(**row) for row in table['rows']], table
 
 
-class Show(base.Base):
-    """table show"""
+class Show(base.RemoteCommand):
+    """Command `table show`: print the table in force."""
 
     name = 'table show'
     description = 'Show the table in force.'
 
-    async def act(self, boxes):
-        """Print the rows."""
-        rows, table = await fetch_table(boxes)
-        self.show(table, draft.COLUMNS, sorted(rows))
+    async def run_async(self, client):
+        """Print the rows, and without --json also offset and versions."""
+        rows, table = await fetch_table(client)
+        self.print_table(table, draft.COLUMNS, sorted(rows))
         if not self.option('json'):
             self.line(f'offset {table["offset"]}')
             for model, version in sorted(table['versions'].items()):
@@ -45,45 +45,45 @@
         return base.OK
 
 
-class Export(base.Base):
-    """table export"""
+class Export(base.RemoteCommand):
+    """Command `table export`: write the table in force to a CSV file."""
 
     name = 'table export'
-    description = 'Write the table in force to a CSV file, to be edited.'
-    arguments = [FILE]
+    description = 'Write the table in force to a CSV file for editing.'
+    arguments = [FILE_ARGUMENT]
 
-    async def act(self, boxes):
-        """Write the file."""
-        rows, _ = await fetch_table(boxes)
+    async def run_async(self, client):
+        """Fetch the table and write the file."""
+        rows, _ = await fetch_table(client)
         path = pathlib.Path(self.argument('file'))
-        path.write_text(draft.write_rows(sorted(rows)))
+        path.write_text(draft.format_rows(sorted(rows)))
         self.line(f'{len(rows)} rows written to {path}')
         return base.OK
 
 
-class Import(base.Base):
-    """table import"""
+class Import(base.RemoteCommand):
+    """Command `table import`: make a draft from another CSV file."""
 
     name = 'table import'
-    description = 'Make a draft from a CSV file of another source.'
-    help = 'Its rows get the revisions in force now as their base.'
-    arguments = [argument('source', 'CSV file to read.'), FILE]
+    description = 'Make a draft from a CSV file from another source.'
+    help = 'Each row is based on its revision that is in force now.'
+    arguments = [argument('source', 'CSV file to read.'), FILE_ARGUMENT]
 
-    async def act(self, boxes):
-        """Read, check, rebase, write."""
+    async def run_async(self, client):
+        """Read and check the source, set base revisions, write the draft."""
         source = pathlib.Path(self.argument('source')).read_text()
         rows, problems = draft.read_rows(source)
         if problems:
-            return self.refuse(problems)
-        table, _ = await fetch_table(boxes)
+            return self.print_problems(problems)
+        table, _ = await fetch_table(client)
         path = pathlib.Path(self.argument('file'))
-        path.write_text(draft.write_rows(draft.rebase(rows, table)))
+        path.write_text(draft.format_rows(draft.rebase(rows, table)))
         self.line(f'{len(rows)} rows written to {path}')
         return base.OK
 
 
-class Edit(base.Base):
-    """table edit"""
+class Edit(base.RemoteCommand):
+    """Command `table edit`: change one row of a draft."""
 
     name = 'table edit'
     description = 'Change columns of one row of a draft.'
@@ -93,7 +93,7 @@
         'gets a new bearer key, which is printed once.'
     )
     arguments = [
-        FILE,
+        FILE_ARGUMENT,
         argument('workspace', 'Name of the row.'),
         argument('changes', 'column=value', optional=True, multiple=True),
     ]
@@ -104,7 +104,7 @@
     ]
 
     def handle(self):
-        """Edit the file; no box is asked."""
+        """Edit the file without calling a box."""
         path = pathlib.Path(self.argument('file'))
         try:
             text = path.read_text()
@@ -113,16 +113,16 @@
             return base.BAD_INPUT
         rows, problems = draft.read_rows(text)
         if problems:
-            return self.refuse(problems)
+            return self.print_problems(problems)
         return self._edit(path, rows)
 
     def _edit(self, path, rows):
         name = self.argument('workspace')
-        known = {row.workspace: row for row in rows}
-        row = known.get(name)
+        rows_by_name = {row.workspace: row for row in rows}
+        row = rows_by_name.get(name)
         if self.option('remove'):
-            known.pop(name, None)
-            path.write_text(draft.write_rows(known.values()))
+            rows_by_name.pop(name, None)
+            path.write_text(draft.format_rows(rows_by_name.values()))
             return base.OK
         key = secrets.token_urlsafe(24) if self.option('new-key') else ''
         if row is None:
@@ -132,46 +132,46 @@
             row = row._replace(key_hash=identity.hash_key(key))
         row, problems = draft.set_columns(row, self.argument('changes'))
         if problems:
-            return self.refuse(problems)
-        known[row.workspace] = row
-        path.write_text(draft.write_rows(known.values()))
+            return self.print_problems(problems)
+        rows_by_name[row.workspace] = row
+        path.write_text(draft.format_rows(rows_by_name.values()))
         if key:
             self.line(f'key of {name}: {key}')
         return base.OK
 
 
-class Diff(base.Base):
-    """table diff"""
+class Diff(base.RemoteCommand):
+    """Command `table diff`: print the changes that a draft would make."""
 
     name = 'table diff'
     description = 'Show what a draft would change.'
-    arguments = [FILE]
+    arguments = [FILE_ARGUMENT]
 
-    async def act(self, boxes):
-        """Print the changes row by row."""
+    async def run_async(self, client):
+        """Print one line for each row that the draft changes."""
         rows, problems = draft.read_rows(
             pathlib.Path(self.argument('file')).read_text()
         )
         if problems:
-            return self.refuse(problems)
-        table, _ = await fetch_table(boxes)
+            return self.print_problems(problems)
+        table, _ = await fetch_table(client)
         changes = draft.compare(rows, table)
-        value = [list_change(change) for change in changes]
-        self.show(value, ('workspace', 'kind', 'columns'), value)
+        value = [make_change_row(change) for change in changes]
+        self.print_table(value, ('workspace', 'kind', 'columns'), value)
         return base.OK
 
 
-class Publish(base.Base):
-    """table publish"""
+class Publish(base.RemoteCommand):
+    """Command `table publish`: publish a draft and follow its rollout."""
 
     name = 'table publish'
-    description = 'Publish a draft and show where it is in force.'
+    description = 'Publish a draft and show at which boxes it is in force.'
     help = (
         'Exit status: 0 in force at all boxes, 1 not published, 2 the draft '
-        'is wrong, 3 another operator was faster, 4 accepted but some boxes '
-        'were not heard in time.'
+        'is invalid, 3 another operator changed a row first, 4 accepted but '
+        'not confirmed to be in force at all boxes in time.'
     )
-    arguments = [FILE]
+    arguments = [FILE_ARGUMENT]
     options = [
         *base.REMOTE_OPTIONS,
         option(
@@ -181,20 +181,25 @@
             flag=False,
             multiple=True,
         ),
-        option('author', None, 'Who publishes.', flag=False),
+        option(
+            'author',
+            None,
+            'Name of the operator who publishes (default: user name).',
+            flag=False,
+        ),
     ]
 
-    async def act(self, boxes):
-        """Publish, then follow it over the boxes."""
+    async def run_async(self, client):
+        """Publish the draft, then poll the boxes until it is in force."""
         text = pathlib.Path(self.argument('file')).read_text()
         rows, problems = draft.read_rows(text)
         if problems:
-            return self.refuse(problems)
-        table, _ = await fetch_table(boxes)
+            return self.print_problems(problems)
+        table, _ = await fetch_table(client)
         changes = draft.compare(rows, table)
-        versions, wrong = read_versions(self.option('load') or [])
-        if wrong:
-            return self.refuse(wrong)
+        versions, version_problems = read_versions(self.option('load') or [])
+        if version_problems:
+            return self.print_problems(version_problems)
         if not changes and not versions:
             self.line('nothing to publish')
             return base.OK
@@ -202,56 +207,58 @@
         publish['author'] = self.option('author') or getpass.getuser()
         publish['versions'] = versions
         publish['edit'] = uuid.uuid4().hex
-        result = await self._send(boxes, publish)
-        return await SHOWN[result['outcome']](self, boxes, result)
+        result = await self._send(client, publish)
+        return await RESULT_PRINTERS[result['outcome']](self, client, result)
 
-    async def _send(self, boxes, publish):
-        # Another box may be asked with the same edit id when one is gone
-        # in the middle: the second record of an edit changes nothing.
+    async def _send(self, client, publish):
+        # If a box fails during the call, the publish may be sent to another
+        # box with the same edit id: readers ignore a second record of an edit.
         try:
-            return await boxes.ask('POST', '/admin/publish', publish)
-        except remote.Failure:
+            return await client.call('POST', '/admin/publish', publish)
+        except remote.RemoteError:
             edit = publish['edit']
-            known = await boxes.ask('GET', f'/admin/edit?edit={edit}')
-            if known['outcome'] != 'not_heard':
-                return known
-            return await boxes.ask('POST', '/admin/publish', publish)
+            result = await client.call('GET', f'/admin/edit?edit={edit}')
+            if result['outcome'] != 'not_heard':
+                return result
+            return await client.call('POST', '/admin/publish', publish)
 
-    async def _show_accepted(self, boxes, result):
+    async def _show_accepted(self, client, result):
         offset = result['offset']
         self.line(f'accepted at offset {offset}')
-        deadline = boot_clock.read() + FORCE_WAIT_S
+        deadline = boot_clock.read() + IN_FORCE_TIMEOUT_S
         while True:
-            reached = await boxes.ask_all('/admin/table')
-            late = [r for r in reached if not is_in_force(r, offset)]
-            if not late or boot_clock.read() > deadline:
+            replies = await client.call_all('/admin/table')
+            pending = [r for r in replies if not is_in_force(r, offset)]
+            if not pending or boot_clock.read() > deadline:
                 break
-            await asyncio.sleep(FORCE_POLL_S)
-        rows = [list_force(box, offset) for box in reached]
-        self.show(rows, ('domain', 'box', 'state'), rows)
-        return base.NOT_HEARD if late else base.OK
+            await asyncio.sleep(IN_FORCE_POLL_S)
+        rows = [make_rollout_row(reply, offset) for reply in replies]
+        self.print_table(rows, ('domain', 'box', 'state'), rows)
+        return base.NO_ANSWER if pending else base.OK
 
-    async def _show_conflict(self, boxes, result):
-        self.line_error('conflict: another operator was faster')
+    async def _show_conflict(self, client, result):
+        self.line_error('conflict: another operator has changed these rows')
         for conflict in result['conflicts']:
             current = conflict['current']
             name = conflict['workspace']
-            shown = json.dumps(current) if current else 'the row is gone'
-            self.line_error(f'  {name}: base {conflict["base"]}, now {shown}')
+            shown = json.dumps(current) if current else 'the row was removed'
+            self.line_error(
+                f'  {name}: base revision {conflict["base"]}, now {shown}'
+            )
         self.line_error('export the table again and repeat the edit')
         return base.CONFLICT
 
-    async def _show_invalid(self, boxes, result):
+    async def _show_invalid(self, client, result):
         for problem in result['problems']:
             self.line_error(f'{problem["subject"]}: {problem["text"]}')
         return base.BAD_INPUT
 
-    async def _show_failed(self, boxes, result):
+    async def _show_failed(self, client, result):
         self.line_error(f'{result["outcome"]} (edit {result["edit"]})')
         return base.FAILED
 
 
-SHOWN = {
+RESULT_PRINTERS = {
     'accepted': Publish._show_accepted,
     'conflict': Publish._show_conflict,
     'invalid': Publish._show_invalid,
@@ -261,7 +268,7 @@
 
 
 def read_versions(texts):
-    """Read ``MODEL=VERSION`` options; returns (dict, list of Problem)."""
+    """Parse ``MODEL=VERSION`` options; returns (dict, list of Problem)."""
     versions, problems = {}, []
     for text in texts:
         model, equals, version = text.partition('=')
@@ -272,21 +279,21 @@
     return versions, problems
 
 
-def is_in_force(reached, offset):
-    """Tell whether a box has an offset in force."""
-    return bool(reached.status) and reached.status['offset'] >= offset
+def is_in_force(reply, offset):
+    """Return whether a box has the offset or a later one in force."""
+    return bool(reply.status) and reply.status['offset'] >= offset
 
 
-def list_force(reached, offset):
-    """Give domain, box and state of a publish at one box."""
-    state = 'in force' if is_in_force(reached, offset) else 'accepted'
-    if reached.status is None:
+def make_rollout_row(reply, offset):
+    """Return domain, box and state of a publish at one box."""
+    state = 'in force' if is_in_force(reply, offset) else 'accepted'
+    if reply.status is None:
         state = 'not heard'
-    return [reached.domain, reached.name, state]
+    return [reply.domain, reply.name, state]
 
 
-def list_change(change):
-    """Give workspace, kind and the changed columns of a change."""
+def make_change_row(change):
+    """Return workspace, kind and changed columns of a change."""
     columns = []
     for name in draft.COLUMNS[1:-1]:
         before = getattr(change.before, name, '')
--- a/landingspool/command/tool.py
+++ b/landingspool/command/tool.py
@@ -1,4 +1,4 @@
-"""The command-line tool `landingspool`."""
+"""Entry point of the command-line tool `landingspool`."""
 
 import sys
 
@@ -24,15 +24,15 @@
 
 
 def make_application():
-    """Build the tool with all its commands."""
+    """Return the application with all commands."""
     tool = application.Application('landingspool', landingspool.VERSION)
-    for kind in COMMANDS:
-        tool.add(kind())
+    for command_class in COMMANDS:
+        tool.add(command_class())
     return tool
 
 
 def main():
-    """Run the tool; returns the exit status."""
+    """Run the tool and return its exit status."""
     return make_application().run()
 
 
--- a/landingspool/operators/__init__.py
+++ b/landingspool/operators/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards operators."""
+"""The HTTP interface for operators."""
--- a/landingspool/operators/server.py
+++ b/landingspool/operators/server.py
@@ -1,4 +1,4 @@
-"""HTTP towards operators: the table, the state, the time line, metrics."""
+"""HTTP interface for operators: table, state, timeline and metrics."""
 
 import asyncio
 import hmac
@@ -11,12 +11,12 @@
 from landingspool import http
 from landingspool.ledger import outcomes
 
-PUBLISH_S = 10.0
-APPEND_REST_S = 0.3
+PUBLISH_TIMEOUT_S = 10.0
+APPEND_RETRY_DELAY_S = 0.3
 
 
 class Draft(msgspec.Struct, forbid_unknown_fields=True):
-    """What the tool sends to publish."""
+    """Body of a publish request, as the command-line tool sends it."""
 
     author: str
     rows: list[dict]
@@ -39,7 +39,7 @@
 
 
 class Operating:
-    """Serves operators.
+    """Handles the HTTP requests of operators.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
     log : log.Log
     settings : settings.Operators
     drain : callable
-        Begins a planned stop of this box.
+        Starts a planned stop of this box.
     """
 
     def __init__(self, core, follower, log, settings, drain):
@@ -58,10 +58,10 @@
         self._key = settings.key
         self._drain = drain
         core.message_handlers[messages.Fetch] = follower.answer
-        core.message_handlers[messages.Records] = self._take_records
+        core.message_handlers[messages.Records] = self._handle_records
 
     async def handle(self, request, exchange):
-        """Answer one request of an operator or of a scraper."""
+        """Answer one request of an operator or of a metrics scraper."""
         if (request.method, request.path) == ('GET', '/metrics'):
             body = self.core.metrics.render()
             await exchange.send_body(200, body, 'text/plain; version=0.0.4')
@@ -72,13 +72,13 @@
         ):
             await exchange.send_json(401, {'error': 'wrong operator key'})
             return
-        call = ROUTES.get((request.method, request.path))
-        if call is None:
+        handler = ROUTES.get((request.method, request.path))
+        if handler is None:
             raise http.BadRequest(404, 'no such route')
-        await call(self, request, exchange)
+        await handler(self, request, exchange)
 
     async def show_table(self, request, exchange):
-        """Give the table in force at this box."""
+        """Return the table in force at this box."""
         table = self.follower.table
         rows = [row._asdict() for row in table.rows.values()]
         reply = {
@@ -89,7 +89,7 @@
         await exchange.send_json(200, reply)
 
     async def publish(self, request, exchange):
-        """Publish a draft and answer with what became of it."""
+        """Publish a draft and answer with its outcome."""
         try:
             draft = msgspec.json.decode(request.body, type=Draft)
             rows = [msgspec.convert(row, Row) for row in draft.rows]
@@ -109,21 +109,22 @@
         await exchange.send_json(200, result)
 
     async def _append(self, publish):
-        # An append whose answer was lost is looked for by its edit id
-        # before it is tried again; a second record of it is ignored.
+        # An append may have succeeded although its answer was lost, so the
+        # log is searched for the edit id before the append is retried.
+        # Readers ignore a second record with the same edit id.
         edit = publish.edit
         problems = configuration.check_publish(self.follower.table, publish)
         if problems and not any(p.reason == 'conflict' for p in problems):
             return describe_problems(edit, problems)
-        deadline = self.core.timer.now() + PUBLISH_S
+        deadline = self.core.timer.now() + PUBLISH_TIMEOUT_S
         data = configuration.encode_publish(publish)
-        doubtful = False
+        may_be_published = False
         while self.core.timer.now() < deadline:
             reply = await self._log.append(configuration.STREAM, data)
             if isinstance(reply, outcomes.Refused):
-                await asyncio.sleep(APPEND_REST_S)
+                await asyncio.sleep(APPEND_RETRY_DELAY_S)
                 continue
-            doubtful = True
+            may_be_published = True
             wait = min(2.0, deadline - self.core.timer.now())
             result = await self.follower.wait_result(edit, wait)
             if result is None:
@@ -131,11 +132,11 @@
             if isinstance(reply, outcomes.Lost):
                 self.core.recorder.record('settled', edit=edit)
             return describe_result(result)
-        outcome = 'unknown' if doubtful else 'not_published'
+        outcome = 'unknown' if may_be_published else 'not_published'
         return {'edit': edit, 'outcome': outcome}
 
     async def find_edit(self, request, exchange):
-        """Tell what became of an edit, as far as this box has read."""
+        """Return the outcome of an edit, as far as this box has read."""
         edit = request.query.get('edit', '')
         result = self.follower.results.get(edit)
         if result is None:
@@ -147,12 +148,12 @@
         await exchange.send_json(200, reply)
 
     async def show_status(self, request, exchange):
-        """Give the state of this box as it sees it."""
+        """Return the state of this box as it sees it."""
         node = self.core.node
         await exchange.send_json(200, describe_node(node, self.core))
 
     async def list_events(self, request, exchange):
-        """Give recorded events; the query holds the fields wanted."""
+        """Return recorded events whose fields match those in the query."""
         query = dict(request.query)
         since = float(query.pop('since', 0))
         rows = self.core.recorder.select(since, **query)
@@ -160,16 +161,16 @@
         await exchange.send_json(200, {'events': reply})
 
     async def drain(self, request, exchange):
-        """Begin a planned stop."""
+        """Start a planned stop of this box."""
         await exchange.send_json(200, {'draining': self.core.node.box})
         self._drain()
 
-    def _take_records(self, sender, message):
+    def _handle_records(self, sender, message):
         self.follower.take(message)
 
 
 def describe_result(result):
-    """Give the JSON form of a Result."""
+    """Return the JSON form of a Result."""
     conflicts = [
         {
             'workspace': name,
@@ -188,13 +189,13 @@
 
 
 def describe_problems(edit, problems):
-    """Give the JSON form of a draft that no reader could accept."""
+    """Return the JSON form of a draft that every reader would reject."""
     rows = [problem._asdict() for problem in problems]
     return {'edit': edit, 'outcome': 'invalid', 'problems': rows}
 
 
 def describe_node(node, core):
-    """Give the state of a box: view, targets, pools, open requests."""
+    """Return the state of a box: view, targets, pools, open requests."""
     targets = []
     for name, owned in sorted(node.pools.schedulers.items()):
         for target in owned.targets.values():
@@ -224,7 +225,7 @@
 
 
 def list_boxes(node):
-    """List the boxes that the live list names, with their addresses."""
+    """List the boxes in the list of live members, with their addresses."""
     return [
         {
             'name': member.name,
@@ -238,7 +239,7 @@
 
 
 def describe_target(pool, target):
-    """Give the state of one target as its scheduler sees it."""
+    """Return the state of one target as its scheduler sees it."""
     report = target.report
     return {
         'pool': pool,
