--- a/landingspool/decisions/entry.py
+++ b/landingspool/decisions/entry.py
@@ -1,10 +1,10 @@
 """Decisions of an entry box for the requests that it owns.
 
-It asks the limiter of the workspace and the scheduler of the pool at the
-same time, asks their successors when the membership changes, and gives each
-request one answer: a grant or a refusal.  If a box does not answer, it asks
-the next one in rank and finally itself, so that no request waits for a box
-that has failed.
+An entry box asks the limiter of the workspace and the scheduler of the pool
+at the same time, asks their successors when the membership changes, and gives
+each request one answer: a grant or a refusal.  If a box does not answer, the
+entry box asks the next one in rank and finally itself, so that no request
+waits for a box that has failed.
 """
 
 import typing
--- a/landingspool/decisions/gateway/admission.py
+++ b/landingspool/decisions/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request is sent on, or refused with a time to retry.
+"""Decides whether a request is sent to a target or refused until later.
 
 Above its capacity an engine is late for every request: runs last longer, so
 more of them hold memory, and cached prompts are evicted and read again.  A
@@ -34,9 +34,9 @@
 # Lowest and highest retry time in seconds: most of a queue is read by then.
 MIN_RETRY_S = 0.15
 MAX_RETRY_S = 0.6
-# Where slots are short at all targets it takes longer, since runs take one to
-# two seconds.  Seconds of retry time for a shortage of all slots,
-# proportionally less for a smaller one, and the highest; callers wait for a
+# If the slots of all targets are short the retry time is longer, since runs
+# take one to two seconds: the seconds for a shortage of all slots
+# (proportionally less for a smaller one), and the highest.  Callers wait for a
 # third of the time that they have left.
 SHORTAGE_RETRY_S = 5.0
 MAX_SHORTAGE_RETRY_S = 2.0
@@ -51,11 +51,11 @@
     Parameters
     ----------
     target_latency_s : float
-        Latency objective of its route: seconds to the first byte.
+        Latency objective of the request's route: seconds to the first byte.
     read_tokens : int
         Prompt tokens that the target has to read.
     priority : int
-        Of its route; 0 is the most urgent.
+        Priority of the route; 0 is the most urgent.
 
     Returns
     -------
@@ -80,7 +80,8 @@
     Parameters
     ----------
     wait_s : float
-        Expected at the target; the others are those of compute_wait_limit.
+        Expected wait at the target, in seconds.  The other parameters are
+        those of compute_wait_limit.
 
     >>> is_admitted(0.4, 0.4, 1000, 0), is_admitted(0.4, 0.4, 12000, 0)
     (True, False)
@@ -96,12 +97,12 @@
     Parameters
     ----------
     share : float
-        Of all slots that are taken, or of memory, weighted by this request's
-        need.
+        Share of all slots that are taken, or share of all memory that is held,
+        weighted by this request's need.
     bounds : tuple of tuple of float
         PRESSURES or MEMORY_SHARES.
     priority : int
-        Of its route; 0 is the most urgent.
+        Priority of the route; 0 is the most urgent.
     chance : float
         Uniform between 0 and 1: the share of refused requests grows gradually.
 
@@ -126,7 +127,7 @@
     Parameters
     ----------
     wait_s : float
-        Expected at the target.
+        Expected wait at the target, in seconds.
     pressure : float
         Requests at all targets of the service, divided by their slots.
     rng : random.Random
--- a/landingspool/decisions/gateway/allowed_regions.py
+++ b/landingspool/decisions/gateway/allowed_regions.py
@@ -1,13 +1,13 @@
 """Regions in which a request may run, and its context may be cached.
 
 A route and a workspace may each name allowed regions; if both do, both apply.
-No data of a request leaves them: it is neither sent to a target nor is its
-context written to a store elsewhere.
+The data of a request stays in its allowed regions: the request is not sent to
+a target elsewhere, and its context is not written to a store elsewhere.
 """
 
 
 def get_allowed_regions(route, tenancy):
-    """Return the regions that a request may use; None if any.
+    """Return the regions that a request may use; None if it may use all.
 
     Parameters
     ----------
@@ -39,7 +39,7 @@
     Parameters
     ----------
     regions : frozenset of str or None
-        As get_allowed_regions.
+        As returned by get_allowed_regions.
     region_of : dict of str to str
         The region of each domain; an unknown domain is not allowed.
 
--- a/landingspool/decisions/gateway/backoffs.py
+++ b/landingspool/decisions/gateway/backoffs.py
@@ -3,13 +3,13 @@
 A target that rejects a request may name the seconds for which it wants no
 requests from the box that sent it.  The back-off applies to this box alone,
 and to every kind of request or call.  Each such answer stands by itself:
-neither a shorter back-off asked for later nor a success ends a longer one.  It
-belongs to one incarnation of the target, also if its entry lapses and comes
-back during it.
+neither a shorter back-off asked for later nor a success ends a longer one.  A
+back-off belongs to one incarnation of the target, also if the target's entry
+lapses and comes back during the back-off.
 
-After the back-off one request at a time is sent, until one is answered that
-was sent after it: requests that had to wait elsewhere must not arrive all at
-once.
+After the back-off one request at a time is sent, until a request that was sent
+after the back-off is answered: requests that had to wait elsewhere must not
+arrive all at once.
 """
 
 import collections
@@ -36,11 +36,11 @@
     Attributes
     ----------
     asked : float
-        When the answer was received that asked for it.
+        When the answer that asked for the back-off was received.
     until : float
         When it ends.
     tried : float or None
-        When a request was last sent since then; None: none was.
+        When a request was last sent since `asked`; None: none was.
     is_reported : bool
         Whether take_over has returned its end.
     """
@@ -68,7 +68,7 @@
     Attributes
     ----------
     fresh : list of BackoffChange
-        What was asked for since the list was last emptied.
+        Back-offs begun or extended since the list was last emptied.
     """
 
     def __init__(self, rng):
--- a/landingspool/decisions/gateway/capacity.py
+++ b/landingspool/decisions/gateway/capacity.py
@@ -1,8 +1,8 @@
-"""Computes the capacity that limits and back-offs leave a box.
+"""Computes the request rate that limits and back-offs of targets leave a box.
 
-It matters if all targets of a service have limits: it then decides which
-requests may use some of the capacity.  If no target may get a request it says
-when refused callers should retry.
+This rate is needed if all targets of a service advertise limits: requests are
+then admitted only as far as it allows.  If no target may get a request, the
+rate determines when refused callers should retry.
 """
 
 from landingspool.decisions.gateway import limits as limits_module
@@ -44,11 +44,11 @@
     def compute_retry_after(self, work, table, left_s, now):
         """Return the seconds after which a refused caller should retry.
 
-        The first back-off or limit to end sets the time.  From then on the
-        callers of this box get one time after the other, more urgent
+        The first target that this box may send to again sets the time.  From
+        then on the callers of this box are given successive times, more urgent
         priorities first.  A box without permits of its own can't know when
-        peers have capacity: half of all permits are free again after half a
-        window.
+        peers have capacity, and assumes half a window: half of all permits are
+        free again by then.
 
         Parameters
         ----------
--- a/landingspool/decisions/gateway/choice.py
+++ b/landingspool/decisions/gateway/choice.py
@@ -27,8 +27,8 @@
 MAX_PREFERRED = 6
 # Seconds that a request waiting for its first byte adds at a plain target.
 PLAIN_WORK_S = 0.045
-# Seconds that one running request adds to the first token of the next: a step
-# takes 3.2 ms, and each running request lengthens it by 0.05 ms.
+# Seconds that one running request adds to the first token of the next: a
+# decoding step takes 3.2 ms, and each running request lengthens it by 0.05 ms.
 RUNNING_S = 0.0006
 # Share of an engine's memory that running requests may take; the remainder
 # caches context for later requests.  Above it, or above the number of slots,
@@ -38,8 +38,8 @@
 # Seconds of penalty for a target all of whose requests fail; proportionally
 # less for a lower share of failures.
 FAILING_S = 1.5
-# Share of requests that go to a doubtful target regardless
-# of its rank, to detect its recovery.
+# Share of requests that go to a failing or slow target regardless of its rank,
+# to detect its recovery.
 TRIAL_SHARE = 0.03
 # Penalty for a target that is slow after its start, as a share of the time for
 # which it stays slow.
@@ -75,7 +75,7 @@
     held_tokens : int
         Tokens of all these requests, generated ones included.
     peer_tokens, peer_running, peer_held, peer_waiting : float
-        The same of other boxes.
+        The same for the requests of other boxes.
     """
 
     waiting: int = 0
@@ -288,7 +288,7 @@
     Parameters
     ----------
     tokens : int
-        That the request holds when it finishes.
+        Tokens of memory that the request holds when it finishes.
     held : HeldMemory
 
     >>> compute_memory_weight(900, HeldMemory(0.9, 4500.0))
@@ -337,7 +337,7 @@
     ----------
     candidates : sequence of Candidate
     ranks : dict of str to int
-        As rank_targets; empty if all are candidates.
+        As returned by rank_targets; empty if all are candidates.
     """
     return [
         c
--- a/landingspool/decisions/gateway/cold_targets.py
+++ b/landingspool/decisions/gateway/cold_targets.py
@@ -2,18 +2,19 @@
 
 A target that has just started can take only a few requests a second and
 crashes if it gets more.  The limit is on the sum over all boxes, including
-boxes that are partitioned from each other.  It is divided by the hash order of
-the boxes (shares.py): a few boxes may each send a fixed number of requests in
-any second, and the others send none while the target is cold.  During a
-partition two member lists may be in use, so the quota stays under half of the
-limit: as many boxes as have a permit may be missing from a list.
+boxes that are partitioned from each other.  The limit is divided by the hash
+order of the boxes (shares.py): a few boxes may each send a fixed number of
+requests in any second, and the others send none while the target is cold.
+During a partition two member lists may be in use, so the quota stays under
+half of the limit: as many boxes as have a permit may be missing from a list.
 
 A target counts as cold for as long as it reports.  Since its report arrives
 late, it also counts as cold for the time of a full start after its path or its
 domain became reachable again.
 
-An equal share for each of 71 boxes would be less than one request a second for
-any limit under 142 (tests/gateway/test_coldness.py covers both).
+Equal shares for all boxes would be too small: with 71 boxes and half of the
+limit in use, each would be less than one request a second for any limit under
+142 (tests/gateway/test_coldness.py).
 """
 
 import typing
@@ -35,7 +36,7 @@
     Attributes
     ----------
     seconds : float
-        Duration of a start; 0 if there is no such time.
+        Seconds for which a target is cold after its start; 0 if it never is.
     per_s : float
         Requests a second that a cold target can take.
     """
@@ -65,7 +66,7 @@
 
 
 class ColdTargets:
-    """The cold targets.
+    """The targets that are cold, and what this box may send them.
 
     Parameters
     ----------
@@ -92,7 +93,7 @@
         Parameters
         ----------
         bound : Bound
-            Of the target's service.
+            Bound of the target's service.
         """
         if bound.seconds > 0:
             self._extend(name, now + bound.seconds)
--- a/landingspool/decisions/gateway/context_index.py
+++ b/landingspool/decisions/gateway/context_index.py
@@ -1,11 +1,12 @@
-"""Holds an index of cached context, from cache events, lists and requests.
+"""Indexes the context (KV cache) that each target and store has cached.
 
-Events of targets arrive late and with gaps, so for targets the index is only a
-hint for routing.  For stores it must be exact: fetching a part that is not
-complete would corrupt a request.  A part of a store is offered only if the
-store itself reported it as complete, in the epoch that was confirmed shortly
-before, and no longer than a lease after that; a box that writes into a new
-epoch of a store first waits until such leases have ended.
+The index is built from cache events, from full lists and from the requests of
+this box.  Events of targets arrive late and with gaps, so for targets the
+index is only a hint for routing.  For stores it must be exact: fetching a part
+that is not complete would corrupt a request.  A part of a store is offered
+only if the store itself reported it as complete, in the epoch that was
+confirmed shortly before, and no longer than a lease after that; a box that
+writes into a new epoch of a store first waits until such leases have ended.
 
 A store accepts a write only while it has free memory, and silently drops it
 otherwise.  So used memory is counted as the store counts it: in whole blocks,
@@ -22,13 +23,14 @@
 MIN_LEFT_S = 0.6
 # Seconds after a store's epoch is first seen before anything is written into
 # it: leases of its former epoch, and transfers begun under them, have ended by
-# then on every box whose clock runs.  If parts are held in an epoch, a box
-# that had waited has written them.
+# then on every box whose clock runs.  If the store already holds parts of the
+# epoch, another box has waited before it wrote them, and this one need not.
 SETTLE_S = 5.4
 # Names that the index of one target holds at most: bounds memory where targets
 # hold many small parts (10 MB a box in the largest deployments).
 MAX_NAMES = 60_000
-# Batches of changes kept for the boxes that follow this one: a minute.
+# Batches of changes kept for the boxes that follow this one: those of about a
+# minute.
 MAX_BATCHES = 100
 # Block size of a store in tokens: it allocates memory in blocks of 16 tokens,
 # as operators state.
@@ -181,7 +183,7 @@
         epoch : int
             The store's epoch then.
         taken : int
-            Tokens, as the property of the same name.
+            Tokens of memory, as CacheContents.taken.
         """
         index = self._indexes.get(name)
         if index is None or index.epoch != epoch:
--- a/landingspool/decisions/gateway/crashes.py
+++ b/landingspool/decisions/gateway/crashes.py
@@ -22,15 +22,15 @@
 from landingspool.decisions.gateway import peer_digests
 
 # Targets that may crash under a request before it is quarantined.  The
-# requirements name the third, and an innocent request is seldom at three
-# targets that crash: of 230 arrivals lost at 13 engines that crashed within
+# requirements allow three, and an innocent request is seldom at three targets
+# that crash: of 230 arrivals lost at 13 engines that crashed within
 # 12 s, 64 were lost at two and 1 at three.
 MAX_CRASHES = 3
 # Seconds for which a crash is remembered.  A request that crashes targets does
 # so whenever it comes, and each time it is forgotten costs one more target.
 REMEMBERED_S = 3600.0
 # Fingerprints that are remembered: 64 targets that crash with 64 requests
-# each.  They take 3.5 MB (tracemalloc) if all of them have three crashes.
+# each.  They take 3.5 MB if all of them have three crashes.
 MAX_FINGERPRINTS = 4096
 # Seconds after a lost connection within which an answer shows that the target
 # is alive.  A target that crashes is back after some seconds, at times under
@@ -43,8 +43,8 @@
 # taken for the same answer.  The age in a notice lacks its transit time, so it
 # seems newer with each hop and would be passed on forever.
 SAME_ANSWER_S = 1.0
-# Each REPEAT_EVERY digests one quarantined request is announced again, in
-# turn: a box that rejoins after a partition has missed earlier notices, and
+# Every REPEAT_EVERY-th digest announces one of the quarantined requests again,
+# in turn: a box that rejoins after a partition has missed earlier notices, and
 # then receives one within a second (test_endings.py).
 REPEAT_EVERY = 5
 
@@ -96,7 +96,7 @@
         Parameters
         ----------
         name : str
-            Of the target's incarnation.
+            Name of the target's incarnation.
 
         >>> crashes = Crashes()
         >>> for name in ('a', 'b', 'b'):
@@ -112,7 +112,8 @@
     def record_unanswered(self, fingerprint, name, now):
         """Record that no answer came, for whatever reason.
 
-        It counts as a crash if the target's crash is confirmed soon after.
+        The attempt counts as a crash if the crash of the target is confirmed
+        soon after.
         """
         self._pending = [
             row for row in self._pending if now - row[2] < PENDING_S
--- a/landingspool/decisions/gateway/engine_split.py
+++ b/landingspool/decisions/gateway/engine_split.py
@@ -8,7 +8,7 @@
 be read: both kinds find engines that are as busy as before, but short prompts
 wait behind short ones only.
 
-That applies while reading is the bottleneck.  If slots or memory are, the
+A split helps while reading is the bottleneck.  If slots or memory are, the
 number of runs counts and not what is read, and one of the two groups fills up
 early: so engines are split only while few of their slots, and not too much of
 their memory, are taken.
@@ -32,15 +32,16 @@
 HALF_LIFE_S = 10.0
 # Tokens that have to be counted before engines are split: some four requests.
 MIN_TOKENS = 10_000
-# Engines that a service needs to be split.
+# Minimum number of engines of a service whose engines are split.
 MIN_ENGINES = 4
 # Free slots of an engine, in standard deviations of the number taken, below
-# which engines are not split any more, and from which on they are again. With
-# 195 boxes and 50 engines of 12 slots each, 0.55 of them taken (2.1 deviations
-# free), 0.932 of the requests are in time with the split, and 0.973 without.
-# With 71 boxes and 30 engines of 64 slots, 0.25 to 0.54 of them taken (12 to 5
-# deviations), it is 0.991 with and 0.988 without, and 0.877 and 0.843 at the
-# highest load.  The figures exclude network delays.
+# which engines are not split any more, and from which on they are again.  With
+# few free slots a split does harm: with 195 boxes and 50 engines of 12 slots
+# each, 0.55 of them taken (2.1 deviations free), 0.932 of the requests are in
+# time with the split, and 0.973 without.  With many free slots it helps: with
+# 71 boxes and 30 engines of 64 slots, 0.25 to 0.54 of them taken (12 to 5
+# deviations free), 0.991 are in time with the split and 0.988 without, and at
+# the highest load 0.877 and 0.843.  These shares exclude network delays.
 MIN_HEADROOM = 4.5
 RESUME_HEADROOM = 5.5
 # Share of the engines' memory held by requests from which on engines are not
@@ -53,8 +54,9 @@
     True: (MIN_HEADROOM, MAX_HELD),
     False: (RESUME_HEADROOM, RESUME_HELD),
 }
-# Load of engines for short prompts relative to that of the others: requests
-# there wait for short ones only, and long prompts need the others' memory.
+# Load of the engines for short prompts relative to that of the engines for
+# long ones: a request at the former waits for short ones only, and long
+# prompts need the memory of the latter.
 SHORT_LOAD_RATIO = 1.4
 
 
@@ -140,7 +142,7 @@
     taken : float
         Requests at all engines.
     slots : int
-        Of all engines.
+        Slots of all engines.
     engines : int
 
     >>> round(measure_headroom(328, 600, 50), 1), measure_headroom(32, 128, 2)
--- a/landingspool/decisions/gateway/evacuation.py
+++ b/landingspool/decisions/gateway/evacuation.py
@@ -1,8 +1,8 @@
 """Tracks evacuated failure domains, whose targets get no new requests.
 
-Operators put and withdraw evacuations separately from the tables.  Only the
+Operators order and withdraw evacuations separately from the tables.  Only the
 presence of an evacuation counts, whatever else its record holds: sending to an
-evacuated domain does more harm than leaving a domain out.  When one is
+evacuated domain does more harm than excluding a domain.  When an evacuation is
 withdrawn, the domain's targets may have become cold shortly before and report
 so only later.
 """
--- a/landingspool/decisions/gateway/exclusions.py
+++ b/landingspool/decisions/gateway/exclusions.py
@@ -24,7 +24,7 @@
 LEAVING = 'leaving'
 # Exclusion of a target that has asked this box to back off.
 BACKING_OFF = 'resting'
-# Exclusions whose end is known: callers are told when to retry.
+# Exclusions whose end is known: a refusal says when to retry.
 TEMPORARY = (LIMITED, BACKING_OFF)
 
 
@@ -133,7 +133,7 @@
         ]
 
     def compute_wait(self, name, now):
-        """Return the seconds until limit and back-off let this box send there.
+        """Return the seconds until limit and back-off allow a request.
 
         None if the box has no permit of the target's limit.
         """
@@ -157,7 +157,7 @@
         ]
 
     def find_lack(self, entries, requirements, now):
-        """Return why no target other than those tried may get a request."""
+        """Return why the targets that a request did not try are excluded."""
         exclusions = {
             self.get_exclusion(entry, requirements, now) for entry in entries
         }
--- a/landingspool/decisions/gateway/fingerprints.py
+++ b/landingspool/decisions/gateway/fingerprints.py
@@ -1,8 +1,8 @@
 """Computes a fingerprint that all arrivals of the same request share.
 
-Callers give each attempt a new id.  Two arrivals ask for the same if path,
-workspace and body are equal: the digest of these is the same on all boxes, and
-short enough for digests between boxes and for logs.
+Callers give each attempt a new id.  Two arrivals are the same request if path,
+workspace and body are equal.  The hash of these is the same on all boxes, and
+short enough for the digests that boxes send each other and for logs.
 """
 
 import hashlib
@@ -10,7 +10,7 @@
 # Size of a fingerprint in bytes.  Accidental collisions do not occur, and
 # constructing one would take 2 ** 96 attempts.
 SIZE = 12
-# Separates the digests of requests from any other use of the hash.
+# Separates fingerprints of requests from any other use of the hash.
 PURPOSE = b'request'
 # Size in bytes of the length prefix of each field.
 LENGTH_BYTES = 4
--- a/landingspool/decisions/gateway/fleet.py
+++ b/landingspool/decisions/gateway/fleet.py
@@ -8,7 +8,8 @@
 
 An incarnation that was once draining gets no new work again, whatever is read
 later.  During an outage of the store that lists the targets, entries may lapse
-though their targets live: these get a grace period before they count as gone.
+though their targets still run: these get a grace period before they count as
+gone.
 """
 
 import typing
@@ -18,7 +19,7 @@
 # State of an entry of an earlier incarnation: a later one of the id is known.
 SUPERSEDED = 'over'
 
-# Seconds after the end of an outage of the store within which a living target
+# Seconds after the end of an outage of the store within which a running target
 # is listed again (about two, as operators state), and less than the two
 # seconds after which nothing new may reach a target that is gone.
 GRACE_S = 1.8
@@ -69,7 +70,7 @@
     Attributes
     ----------
     name : str
-        Of its incarnation (Incarnation.name).
+        Name of its incarnation (Incarnation.name).
     versions : dict of str to int
         The version of the weights that it runs, by model.
     cold_s : float
@@ -161,7 +162,7 @@
         ----------
         unconfirmed : bool
             Whether the store was unreachable shortly before, so that the entry
-            may have lapsed though the target lives.
+            may have lapsed though the target still runs.
         """
         if name not in self.entries:
             return
@@ -198,7 +199,7 @@
     def list_service(self, service):
         """Return the entries of a service that may get new work.
 
-        Those in their grace period are excluded while there are others.
+        Entries in their grace period are excluded while there are others.
         """
         known = [e for e in self.entries.values() if e.service == service]
         confirmed = [e for e in known if e.name not in self.lapsed]
--- a/landingspool/decisions/gateway/freshness.py
+++ b/landingspool/decisions/gateway/freshness.py
@@ -10,8 +10,9 @@
 
 import math
 
-# Seconds between the check and the first byte that reaches a target: a turn of
-# the event loop and one trip between failure domains, many times over.
+# Margin in seconds for the time from the check until the first byte reaches a
+# target: many times a turn of the event loop and a trip between failure
+# domains.
 MARGIN_S = 0.25
 # Age in seconds that logs and messages carry if there is no proof: both carry
 # plain numbers, and any such age is far above the bound.
@@ -25,7 +26,7 @@
     Parameters
     ----------
     bound_s : float
-        Greatest age with which requests with a key are served, in seconds.
+        Maximum age of the proof for requests with a key, in seconds.
     fails_closed : bool
         Whether the bound applies; otherwise any proof is fresh.
     """
--- a/landingspool/decisions/gateway/garbage.py
+++ b/landingspool/decisions/gateway/garbage.py
@@ -87,7 +87,7 @@
     Parameters
     ----------
     cached : dict of tuple to int
-        As in context_index.CacheContents.
+        Tokens by (namespace, part name).
 
     >>> list_stale({('m.1', 'a'): 5, ('m.2', 'a'): 5}, 'm', 2)
     [('m.1', 'a')]
--- a/landingspool/decisions/gateway/gossip.py
+++ b/landingspool/decisions/gateway/gossip.py
@@ -7,10 +7,12 @@
 
 from landingspool.decisions.gateway import peer_digests
 
-# Notices in one digest: 23 bytes each, so that it fits into one packet.
+# Maximum number of notices in one digest: 23 bytes each, so that a digest fits
+# into one packet.
 MAX_NOTICES = 40
-# Digests that carry a notice, so that a lost datagram does not matter: all of
-# 195 boxes receive it within 2.8 s even if 30 % of the datagrams are lost.
+# Number of digests that carry a notice, so that a lost datagram does not
+# matter: all of 195 boxes receive it within 2.8 s even if 30 % of the
+# datagrams are lost.
 REPEATS = 3
 
 
@@ -33,8 +35,8 @@
         Parameters
         ----------
         weigh : callable
-            ``weigh(fingerprint)``; the greatest go first, then those sent
-            least often.
+            ``weigh(fingerprint)``: notices of the greatest weight go first,
+            and of equal ones those sent least often.
 
         Returns
         -------
--- a/landingspool/decisions/gateway/health.py
+++ b/landingspool/decisions/gateway/health.py
@@ -137,7 +137,7 @@
     Parameters
     ----------
     peers : Peers
-        Of the same service, this target included.
+        Peers of the same service, this target included.
 
     >>> fast = Health(wait_s=0.1, samples=9)
     >>> peers = measure_peers([fast, fast])
--- a/landingspool/decisions/gateway/latency.py
+++ b/landingspool/decisions/gateway/latency.py
@@ -6,7 +6,7 @@
 objectives of their routes, the targets are overloaded, whatever is known to
 wait there, and the least urgent requests are refused.  With 82 boxes and 30
 targets, a quarter of them unreachable for 16 s, requests earned 0.422 of their
-value with this rule, and 0.347 and 0.400 without it.
+value with this rule, and 0.347 to 0.400 without it.
 """
 
 import typing
@@ -14,17 +14,17 @@
 # Weight of the newest answer in the moving average: about five answers count,
 # the last two seconds of one box.
 SAMPLE_WEIGHT = 0.2
-# Highest ratio to the objective that one answer counts: a stalled target tells
-# nothing about the others.
+# Highest ratio to the objective with which one answer counts: the answers of a
+# stalled target say nothing about other targets.
 MAX_RATIO = 2.0
 # Seconds after the last answer from which on the average decays, and its
-# half-life: a box that refuses everything has to try again.
+# half-life: a box that refuses all requests has to admit some again.
 FADE_S = 1.0
 HALF_LIFE_S = 1.0
 
 
 # Average at which targets count as full: answers take as long as the
-# objective.  At 0.65 an overload by many boxes passes sooner, but where
+# objective.  With 0.65 an overload by many boxes ends sooner, but where
 # objectives are short two to three times as many requests are refused under
 # light load (0.025 and 0.038 instead of 0.013 of the requests).
 FULL_RATIO = 1.0
--- a/landingspool/decisions/gateway/leaving.py
+++ b/landingspool/decisions/gateway/leaving.py
@@ -1,9 +1,10 @@
 """Tracks the targets that have announced that they are leaving.
 
-A target that is leaving says so in its answers, before the platform's list
-does or without it.  The announcement holds for the whole incarnation of the
-target, whatever is read later: a reloaded list, the state of another box or an
-entry that lapsed and came back reflect what was written before it.
+A target that is leaving says so in its answers, possibly before the platform's
+list does, or while that list is unavailable.  The announcement holds for the
+whole incarnation of the target, whatever is read later: a reloaded list, the
+state of another box or an entry that lapsed and came back reflect what was
+written before it.
 
 Peers are notified, since a box that has not sent to the target lately, or that
 has just started, would otherwise learn of it only by a request that runs on a
@@ -69,7 +70,7 @@
         Parameters
         ----------
         name : str
-            Of the target's incarnation.
+            Name of the target's incarnation.
 
         >>> leaving = Leaving()
         >>> leaving.record_reported('t', 1.0)
@@ -90,7 +91,7 @@
     def record_over(self, name):
         """Record that an incarnation ended, keeping its announcement.
 
-        It may only seem to have ended: its entry may have lapsed.
+        The incarnation may only seem to have ended: its entry may have lapsed.
         """
         life = peer_digests.hash_target(name)
         known = self._known.get(life)
--- a/landingspool/decisions/gateway/limits.py
+++ b/landingspool/decisions/gateway/limits.py
@@ -26,15 +26,15 @@
 from landingspool.decisions.gateway import peer_digests
 from landingspool.decisions.gateway import shares as shares_module
 
-# Length in seconds of the window in which the users count arrivals: one and a
-# half times the limit, plus five, are allowed in it.
+# Length in seconds of the window in which arrivals at a target are counted:
+# the requirements allow one and a half times the limit, plus five, in it.
 WINDOW_S = 4.0
-# Larger limits are capped to this value, which restricts no box.  It keeps a
-# number of 308 digits from raising an error.
+# Larger limits are capped to this value, which restricts no box.  The cap
+# keeps a number of 308 digits from raising an error.
 MAX_PER_S = 10_000.0
 # A target with a lower limit still gets this many requests a second: only an
-# answer can show that it accepts more again.  This is far below what the users
-# allow above any limit, five in a window.
+# answer can show that it accepts more again.  This is far below what the
+# requirements allow above any limit, five in a window.
 MIN_PER_S = 1 / shares_module.MAX_WINDOW_S
 # Stands for the limit of a target that advertises none any more.
 NO_LIMIT = 0.0
@@ -121,7 +121,7 @@
         Parameters
         ----------
         name : str
-            Of the target's incarnation.
+            Name of the target's incarnation.
 
         >>> limits = Limits(shares_module.Shares())
         >>> limits.record_named('t', 1.8, 1.0, 1.1)
@@ -134,8 +134,8 @@
     def record_unnamed(self, name, asked, heard):
         """Record an answer that advertised no limit.
 
-        It ends a limit only if its request was sent after the limit was
-        received.
+        The answer ends a limit only if its request was sent after the limit
+        was received.
 
         >>> limits = Limits(shares_module.Shares())
         >>> limits.record_named('t', 1.8, 1.0, 1.1)
@@ -342,9 +342,9 @@
 
     With as many permits as a window has requests, no window holds more than
     the limit.  With two member lists in use of which half of the permits
-    differ, it holds up to one and a half times as many; the users allow that,
-    plus five.  An equal share of a limit of 2 a second for 195 boxes would be
-    one request in 98 s for each.
+    differ, it holds up to one and a half times as many; the requirements allow
+    that, plus five.  An equal share of a limit of 2 a second for 195 boxes
+    would be one request in 98 s for each.
 
     Parameters
     ----------
--- a/landingspool/decisions/gateway/pacing.py
+++ b/landingspool/decisions/gateway/pacing.py
@@ -2,9 +2,9 @@
 
 A box then has capacity for a few requests a second, and far more may arrive.
 Requests without capacity are refused at once, with a time to retry: callers
-get one time after the other, as many as there is capacity for, so that they
-don't all come back at once.  More urgent priorities go first: a less urgent
-one gets the capacity that the others leave.
+are given successive times at the rate of the capacity, so that they don't all
+come back at once.  More urgent priorities go first: a less urgent one gets the
+capacity that they leave.
 """
 
 import math
@@ -76,7 +76,8 @@
     def take(self, service, priority, free_per_s, now):
         """Return whether a request may use some of the capacity.
 
-        Less urgent requests are paced to the capacity that the others leave.
+        Less urgent requests are paced to the capacity that more urgent ones
+        leave.
         If they were admitted at random, too few would arrive while there is
         capacity.
 
--- a/landingspool/decisions/gateway/peer_digests.py
+++ b/landingspool/decisions/gateway/peer_digests.py
@@ -34,7 +34,7 @@
     Attributes
     ----------
     fingerprint : bytes
-        Of the request.
+        Fingerprint of the request.
     life : int
         Hash of the crashed incarnation's name (hash_target); NO_INCARNATION:
         the request was answered completely.
@@ -83,7 +83,7 @@
 
 
 class Digest(typing.NamedTuple):
-    """What one box has under way.
+    """What one box reports to its peers about its requests and targets.
 
     Attributes
     ----------
--- a/landingspool/decisions/gateway/plans.py
+++ b/landingspool/decisions/gateway/plans.py
@@ -1,4 +1,4 @@
-"""Records of a request as decisions see it, and of its planned target."""
+"""Records that describe a request to the decisions, and its planned target."""
 
 import typing
 
@@ -10,7 +10,7 @@
 
 
 class Work(typing.NamedTuple):
-    """One request as the decisions see it."""
+    """What the decisions need to know of one request."""
 
     name: str
     route: routes.Route
@@ -37,7 +37,7 @@
     candidates : int
         Targets among which the choice was made.
     version : int or None
-        Of the weights that the request needs; None if any will do.
+        Version of the weights that the request needs; None if any will do.
     space : str
         Namespace of its cached context; empty if it has no prompt.
     transfer : transfers.Transfer
--- a/landingspool/decisions/gateway/readers.py
+++ b/landingspool/decisions/gateway/readers.py
@@ -7,16 +7,16 @@
 
 Two rules limit the age of a table.  A box that gets no answer from the store
 reports so at once, and follows a peer itself.  And whatever its peers report,
-a box reads for itself as soon as its own proof is old.  Without this rule, in
-a domain of 19 boxes, giving up two failed readers one after the other took
-2.4 s; with it, 0.1 s (tests/gateway/test_turned_away.py).
+a box reads for itself as soon as its own proof is old.  Without these rules,
+in a domain of 19 boxes, giving up two failed readers one after the other took
+2.4 s; with them, 0.1 s (tests/gateway/test_turned_away.py).
 """
 
 import typing
 
 from landingspool.decisions import ownership
 
-# Boxes of a large domain that read: if one fails the other continues.
+# Number of boxes of a large domain that read: if one fails the other reads.
 READERS = 2
 # Domain size up to which each box reads for itself.
 MAX_DIRECT_READERS = 4
@@ -25,13 +25,14 @@
 # Seconds by which a reader's own proof may be older than two holds: a reader
 # that works renews it within two holds and the round trips to a slow store.
 STALE_SLACK_S = 0.5
-# Share of the maximum table age for which a read of tables is held at most.
-# In a chain of two reads each is held for half of it.
+# Share of the maximum table age for which a read of tables is held at most (a
+# long poll: its answer waits until there is a new record).  In a chain of two
+# reads each is held for half of that time.
 HOLD_SHARE = 0.4
 # Maximum seconds for which a read of tables is held, whatever the maximum age.
 MAX_HOLD_S = 1.2
 # Share of the maximum table age at which a box's own proof is too old to rely
-# on.  It is above the age reached in a chain of two reads, and the remainder
+# on.  This is above the age reached in a chain of two reads, and the remainder
 # suffices for a read that has to wait for its time-out of a second
 # (1.8 of 3 s) or for a busy store (1.2 of 2 s).
 OLD_SHARE = 0.6
@@ -76,7 +77,7 @@
 
 
 def rank_readers(links):
-    """List boxes in the order in which they read for the others.
+    """List boxes in the order in which they are made readers.
 
     A reader sends every change to half of its domain.  One with the slowest
     link (5 Mbit/s) sent all that it can carry, 0.7 MB/s, for 17 followers, and
@@ -113,7 +114,7 @@
         self._avoided = {}
 
     def shun(self, name, now):
-        """Record that a box failed; the own name: the store failed it."""
+        """Record that a box failed, or the store if it is this box's name."""
         self._avoided[name] = now + AVOID_S
 
     def is_shunned(self, name, now):
--- a/landingspool/decisions/gateway/retry_budget.py
+++ b/landingspool/decisions/gateway/retry_budget.py
@@ -7,8 +7,8 @@
 
 import collections
 
-# Share of the bound that is used: the windows of the count slide, and a
-# request may be counted in an adjacent one.
+# Share of the bound that is used: the windows in which repeats are counted
+# slide, and a request may be counted in an adjacent one.
 USED_SHARE = 0.8
 
 
@@ -43,7 +43,7 @@
         Parameters
         ----------
         boxes : int
-            Boxes that may share the slack: the highest number assumed.
+            Highest number of boxes that may share the slack.
 
         >>> budget = RetryBudget(0.2, 5.0, 10.0)
         >>> [budget.take(0.0, 2) for _ in range(3)]
--- a/landingspool/decisions/gateway/rollouts.py
+++ b/landingspool/decisions/gateway/rollouts.py
@@ -1,6 +1,6 @@
 """Plans rollouts: brings targets to a published version by fenced load orders.
 
-One box at a time holds the lease to give orders for a model.  It claims the
+One box at a time holds the lease to give orders for a model.  A box claims the
 lease by an append to the platform's store that succeeds only if nothing was
 appended since its last read, and the offset of that append is the fence.  The
 store has no clock for the lease: a box that sees another box's claim waits
@@ -36,9 +36,9 @@
 # the load, which costs a part of their value; waiting for them would exclude a
 # fifth of all targets for seconds.
 CLOSING_S = 0.5
-# Share of the targets that are under way at once; twice as many may load
-# without slowing each other (2 of 5, 18 of 45, 22 of 56, as operators state),
-# and are under way if the time left requires it.
+# Share of the targets that are under way (closing or loading) at once; twice
+# as many may load without slowing each other (2 of 5, 18 of 45, 22 of 56, as
+# operators state), and are under way if the time left requires it.
 CONCURRENT_SHARE = 0.2
 MAX_CONCURRENT_SHARE = 0.4
 # Seconds that one target is under way: closing, two reports, and a load of 1.3
@@ -143,7 +143,7 @@
     Parameters
     ----------
     rank : int
-        Of the box in the hash order of all boxes.
+        Rank of the box in the hash order of all boxes.
 
     >>> [compute_claim_delay(rank) for rank in (0, 2, 194)]
     [0.0, 0.3, 2.0]
--- a/landingspool/decisions/gateway/shares.py
+++ b/landingspool/decisions/gateway/shares.py
@@ -1,4 +1,4 @@
-"""Divides what all boxes may send to a target, by a rule that all apply.
+"""Divides a target's request quota among the boxes, without messages.
 
 A limit over all boxes can't be based on the reports of peers about their
 sending: some boxes are partitioned, and all reports arrive late.  So a quota
@@ -99,7 +99,7 @@
         Parameters
         ----------
         name : str
-            Of the target's incarnation.
+            Name of the target's incarnation.
 
         >>> shares, quota = Shares(), Quota(4, 1, 2.0)
         >>> shares.set_members('a', 'ab', 10.0)
--- a/landingspool/decisions/gateway/stalls.py
+++ b/landingspool/decisions/gateway/stalls.py
@@ -20,5 +20,5 @@
     view.neighbours.exclude_stall(seconds)
     view.watching.exclude_stall(seconds)
     view.fleet.exclude_stall(seconds)
-    # Peers did not know what this box would send to limited targets.
+    # Peers may have taken over this box's permits for targets with limits.
     view.bars.shares.restart(now)
--- a/landingspool/decisions/gateway/view.py
+++ b/landingspool/decisions/gateway/view.py
@@ -53,7 +53,7 @@
     bounds
         The deployment's Bounds.
     seed : int
-        Of the random choices.
+        Seed of the random choices.
     regions : dict of str to str, optional
         The region of each failure domain.
     """
@@ -134,7 +134,7 @@
         return self.bars.get_exclusion(entry, limits, now) is None
 
     def has_available(self, work, now):
-        """Return whether a request's service has a target not excluded."""
+        """Return whether any target of the request's service may get it."""
         limits = self.bars.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
         return bool(self.bars.list_open(entries, limits, now))
@@ -511,7 +511,7 @@
             now,
         )
         if self.weights.is_replaced(work.prompt.model, version):
-            # These parts are of no use within seconds, and the memory that
-            # they take becomes free only after that.
+            # Parts of replaced weights are of no use within seconds, and the
+            # memory that they take becomes free only after that.
             return planned._replace(save=())
         return planned
--- a/landingspool/decisions/gateway/watchers.py
+++ b/landingspool/decisions/gateway/watchers.py
@@ -1,4 +1,4 @@
-"""Assigns the boxes of a failure domain that probe unreachable targets.
+"""Assigns to each unreachable target the boxes of a domain that probe it.
 
 If each box probes each unreachable target, the number of probes grows with the
 product of both: 195 boxes and 13 targets made some 1,200 a second.  So in a
@@ -12,7 +12,7 @@
 from landingspool.decisions.gateway import readers
 from landingspool.decisions import ownership
 
-# Boxes of a domain that watch one target: one may fail unnoticed.
+# Number of boxes of a domain that watch one target: one may fail unnoticed.
 WATCHERS_PER_TARGET = 2
 # Seconds for which the report of a box counts: five digests.
 FRESH_S = 1.0
--- a/landingspool/decisions/gateway/weights.py
+++ b/landingspool/decisions/gateway/weights.py
@@ -102,12 +102,12 @@
         return now - min(missed) if missed else 0.0
 
     def put_loading(self, delays, now):
-        """Record which targets load, or will after so many seconds.
+        """Record which targets load or will, and in how many seconds.
 
         Parameters
         ----------
         delays : dict of str to float
-            Seconds by name of target.
+            Seconds until a target loads, by its name.
         """
         self._loading = {
             name: self._loading.get(name, now + delay)
@@ -132,7 +132,7 @@
 
 
 def compute_penalty(lag_s):
-    """Return the seconds of penalty for a target with such a lag.
+    """Return the seconds of penalty for a target with a lag of `lag_s`.
 
     >>> compute_penalty(1.4), compute_penalty(1.5)
     (0.0, 0.03)
--- a/landingspool/decisions/kv_offload.py
+++ b/landingspool/decisions/kv_offload.py
@@ -1,9 +1,10 @@
 """Offloading of a pool's cached context (KV cache blocks) to the stores.
 
-Decides which blocks to export, to offer to targets and to free, following
-the retention policy.  Each write gets an identifier that is never reused.  A
-block is offered only after its seal was confirmed, and withdrawn before it
-is freed.  A store that fails or is full gets no writes for a back-off time.
+This module decides which blocks to export, to offer to targets and to free,
+following the retention policy.  Each write gets an identifier that is never
+reused.  A block is offered only after its seal was confirmed, and withdrawn
+before it is freed.  A store that fails or is full gets no writes for a
+back-off time.
 """
 
 import collections
@@ -173,8 +174,8 @@
     def adopt(self, listing, directory, now):
         """Adopt the blocks of a store's listing, as after a restart.
 
-        Sealed blocks are offered again.  A write that was never sealed and
-        is too old to be in progress still is freed.
+        Sealed blocks are offered again.  An unsealed write is freed if it is
+        too old to be still in progress.
         """
         actions = []
         for row in listing:
--- a/landingspool/decisions/membership.py
+++ b/landingspool/decisions/membership.py
@@ -30,7 +30,7 @@
 DEAD = 'dead'
 LEAVING = 'leaving'
 
-# Which state takes precedence between two marks of the same count.
+# Which state takes precedence between two marks of one incarnation and count.
 STATE_PRECEDENCE = {ALIVE: 0, LEAVING: 1, SUSPECT: 2, DEAD: 3}
 
 
@@ -190,7 +190,7 @@
         peer = self._peers.get(name)
         if peer is None or peer.mark.state != SUSPECT:
             return
-        # Only the box itself can refute a suspicion towards other boxes.
+        # Only the suspected box can refute the suspicion towards other boxes.
         # It did answer this box, so its time-out starts again here.
         self._peers[name] = peer._replace(since=now)
 
--- a/landingspool/decisions/placement.py
+++ b/landingspool/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Estimates of what a slot at each target would mean for one request.
+"""Views of the targets for one request, as the routing policies need them.
 
 Keys of cached context contain the weight version.  The keys of a request are
 therefore computed, and looked up in the stores, once for each version among
--- a/landingspool/decisions/policies.py
+++ b/landingspool/decisions/policies.py
@@ -1,4 +1,4 @@
-"""Settings of a deployment for its schedulers."""
+"""Settings of a deployment for the schedulers of its pools."""
 
 import typing
 
@@ -24,7 +24,7 @@
     admission : str
         Name of a policy in `admission`.
     backlog_s : float
-        Most seconds of prefill that may wait at a target; 0 for no bound.
+        Maximum seconds of prefill that may wait at a target; 0 for no bound.
     """
 
     routing: str = 'earliest'
--- a/landingspool/decisions/pool.py
+++ b/landingspool/decisions/pool.py
@@ -193,9 +193,9 @@
         self.hold_s += HOLD_SMOOTHING * (held - self.hold_s)
 
     def _record_progress(self, report, made_at):
-        # If work was queued at both of two reports, the target was busy in
-        # between.  The tokens it processed then give its speed, long before
-        # a slow request has finished.
+        # If work was queued at two successive reports, the target was busy
+        # from one to the other.  The tokens that it processed in that time
+        # give its speed, long before a slow request has finished.
         if not self.report.queued_tokens or not report.queued_tokens:
             return
         seconds = made_at - self.made_at
@@ -236,7 +236,7 @@
 def compute_request_rate(targets, compute):
     """Return the number of requests a second that targets can process.
 
-    It is limited by their slots or by their prefill speed, whichever
+    This is limited by their slots or by their prefill speed, whichever
     allows fewer.
 
     Parameters
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -1,6 +1,6 @@
-"""Pools scheduled by one box.
+"""Pools that one box schedules, with their exports and rollouts.
 
-Each pool has a scheduler, a keeper that exports its cached context to the
+Each pool has a scheduler, a planner that exports its cached context to the
 stores, a rollout of weight versions, and a lease on sending orders to its
 targets.
 """
--- a/landingspool/decisions/retries.py
+++ b/landingspool/decisions/retries.py
@@ -29,7 +29,7 @@
     share : float
         Retries earned by each success.
     burst : float
-        Most retries that can be saved up.
+        Maximum number of retries that can be saved up.
 
     >>> budget = Budget(burst=1.0)
     >>> budget.take(), budget.take()
--- a/landingspool/decisions/scheduler.py
+++ b/landingspool/decisions/scheduler.py
@@ -1,9 +1,9 @@
 """Scheduler of one shard of a pool: which request runs next, and where.
 
-It receives the messages of entry boxes and the load reports of targets, and
-sends grants and refusals.  It has no durable state: after a start, the entry
-boxes announce their grants and waiting requests, and the targets report the
-rest.
+A scheduler receives the messages of entry boxes and the load reports of
+targets, and sends grants and refusals.  It has no durable state: after a
+start, the entry boxes announce their grants and waiting requests, and the
+targets report their load.
 """
 
 import random
@@ -180,8 +180,8 @@
     def adopt(self, announce, get_share, now):
         """Adopt the grants and waiting requests of an entry box.
 
-        A scheduler that has just started gets its state this way.  It also
-        renews the leases of grants.  Return the number of renewed grants
+        A scheduler that has just started gets its state this way.  The leases
+        of the grants are renewed as well.  Return the number of renewed grants
         that are unknown here.
         """
         lease = self.policy.grant_lease_s
--- a/landingspool/decisions/shortage.py
+++ b/landingspool/decisions/shortage.py
@@ -6,7 +6,7 @@
 are refused at once, and queued ones as soon as the shortage has lasted.
 """
 
-# How long to wait for load reports of targets.
+# Seconds to wait for load reports of targets.
 SETTLE_S = 1.0
 
 
--- a/landingspool/decisions/timing.py
+++ b/landingspool/decisions/timing.py
@@ -5,7 +5,7 @@
 process acts, earlier decisions are discarded and requested again.
 """
 
-# A longer gap between two heartbeats counts as a stall.
+# Seconds between two heartbeats above which the gap counts as a stall.
 MAX_SILENCE_S = 0.75
 
 
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -128,8 +128,8 @@
     def _record_for_quarantine(self, outcome):
         """Record whether the target may have crashed under this request.
 
-        Counted by fingerprint and over all attempts, since callers send a
-        request that crashes targets again, under a new id each time.
+        Crashes are counted by fingerprint and over all attempts, since callers
+        send a request that crashes targets again, under a new id each time.
         """
         endings, name = self._view.endings, self._plan.entry.name
         fingerprint, now = self._state.fingerprint, self._hub.clock()
@@ -404,7 +404,7 @@
 
 
 def describe_plan(plan, table):
-    """Return the figures that decided the choice of a target, for the log."""
+    """Return the values that decided the choice of a target, for the log."""
     return {
         'target': plan.entry.name,
         'expected_s': round(plan.expected_s, 4),
--- a/landingspool/gateway/cache_follower.py
+++ b/landingspool/gateway/cache_follower.py
@@ -1,8 +1,8 @@
 """Track what targets and stores have cached, from their cache events.
 
-Each target and store gets about one call a second.  A call that waits less
-than a fifth of a second costs as much as a probe, and under load there is
-always something new.
+Each target and store gets about one call a second, and not a call after each
+answer: a call that waits less than a fifth of a second costs as much as a
+probe, and under load there is always something new.
 
 In a large fleet two boxes of a domain ask the stores, and the others ask
 these two for updates.  Complete lists are read from the stores themselves:
@@ -93,7 +93,7 @@
             self._update_tasks({})
 
     def _list_followed(self):
-        """Return the address and period of each one to be followed."""
+        """Return the address and period of each target and store to follow."""
         table = self._hub.view.table
         if table is None:
             return {}
--- a/landingspool/gateway/crash_records.py
+++ b/landingspool/gateway/crash_records.py
@@ -23,7 +23,7 @@
 
 
 class PendingWrite(typing.NamedTuple):
-    """A record to write at a time unless another box has written it."""
+    """A value, and when to write it unless another box has done so."""
 
     value: bytes
     at: float
--- a/landingspool/gateway/heads.py
+++ b/landingspool/gateway/heads.py
@@ -94,7 +94,7 @@
 def check_framing(data, version):
     """Refuse a head that doesn't frame its body in exactly one way.
 
-    It checks the bytes, since h11 merges repeated Content-Length headers.
+    The bytes are checked, since h11 merges repeated Content-Length headers.
 
     Raises
     ------
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -66,7 +66,7 @@
     ----------
     deployment : deployment.Deployment
     seed : int
-        Of the random number generator.
+        Seed of the random number generator.
     clock : callable, optional
         Returns the boot-time clock, seconds.
     wall : callable, optional
--- a/landingspool/gateway/metrics.py
+++ b/landingspool/gateway/metrics.py
@@ -101,7 +101,7 @@
         evacuated : dict of str to float
             Seconds since notice of each evacuation was received, by domain.
         partitioned : bool
-            Whether engines are partitioned by the size of prompts.
+            Whether engines are split by the size of prompts.
         """
         self.cold.set(cold)
         self.evacuated.clear()
--- a/landingspool/gateway/ordering.py
+++ b/landingspool/gateway/ordering.py
@@ -1,4 +1,4 @@
-"""Order targets to load newly named versions of weights.
+"""Order targets to load newly published versions of weights.
 
 Any box may give orders, but only one does so at a time: the one whose claim
 is in the platform's store.  All boxes follow the claims, since these name the
@@ -96,8 +96,9 @@
     async def _renew_claim(self, loading):
         """Renew the claim if needed; return whether orders may be given.
 
-        It is written again before it expires, and whenever the set of loading
-        targets changes, so that all boxes know these before the orders.
+        The claim is written again before it expires, and whenever the set of
+        loading targets changes, so that all boxes know these before the
+        orders.
         """
         now = self._hub.clock()
         is_held = rollouts.is_held(self._lease, now)
@@ -213,7 +214,7 @@
         if not self._hub.heartbeat.is_fresh(self._hub.clock()):
             return rollouts.REFUSED
         if not self._hub.view.may_call(entry.name, self._hub.clock()):
-            # It may have asked for a back-off since the order was planned.
+            # The target may have asked for a back-off since the planning.
             return rollouts.REFUSED
         fence = self._lease.fence
         reply = await self._hub.runners.order(
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -52,7 +52,7 @@
 
 
 class Peering:
-    """Send and receive digests and state, and select whom to read from.
+    """Send and receive digests and state, and select the box to read from.
 
     Parameters
     ----------
@@ -199,7 +199,7 @@
         domains = [peer.domain for peer in self.peers.values()]
         view.peers_by_domain = dict(collections.Counter(domains))
         if self._registry.was_read:
-            # Without the list, this box may know only few of the others.
+            # Without the list, this box may know only few of its peers.
             view.bars.shares.set_members(
                 self._hub.deployment.box,
                 (*self.peers, self._hub.deployment.box),
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -13,7 +13,7 @@
 
 
 class Prober:
-    """Probe the targets that `reach` lists as due.
+    """Probe the unreachable targets whose next probe is due.
 
     Parameters
     ----------
--- a/landingspool/gateway/registry.py
+++ b/landingspool/gateway/registry.py
@@ -4,8 +4,8 @@
 sooner.  So it is read seldom, and an entry that is not renewed stays until its
 box announces that it stops.
 
-It is read before anything else.  A box that knows the others follows one of
-them as soon as it has read the store once.
+The list is read before anything else.  A box that knows the others follows one
+of them as soon as it has read the store once.
 """
 
 import asyncio
--- a/landingspool/gateway/relay.py
+++ b/landingspool/gateway/relay.py
@@ -236,8 +236,8 @@
     async def _refuse_excluded(self, shortage, now):
         """Answer a request that no target may get now.
 
-        Retry-After says when a target may be available, where the reason of
-        the shortage tells it.
+        Retry-After says when a target may be available, if that follows from
+        the reason of the shortage.
         """
         if self._reply.started or self._state.may_have_run:
             return await self._give_up(shortage)
--- a/landingspool/gateway/request_state.py
+++ b/landingspool/gateway/request_state.py
@@ -10,7 +10,7 @@
 
 # Seconds before a request's deadline at which it is answered at the latest.
 ANSWER_MARGIN_S = 0.05
-# Shortest time-out of an attempt.
+# Shortest time-out of an attempt, seconds.
 MIN_TIMEOUT_S = 0.01
 
 
@@ -76,7 +76,7 @@
         )
 
     def is_expired(self, now):
-        """Return whether its deadline is over, less the answer's margin."""
+        """Return whether its deadline, less ANSWER_MARGIN_S, has passed."""
         return now >= self.deadline - ANSWER_MARGIN_S
 
     def get_time_left(self, now):
--- a/landingspool/gateway/sources.py
+++ b/landingspool/gateway/sources.py
@@ -79,7 +79,7 @@
         """Abort the pending reads of a source that has failed.
 
         Otherwise a long hold would delay the updates that another source has.
-        The name of the store here is that of this box.
+        Here the name of this box stands for the store.
         """
         abort = self._aborts.pop(name, None)
         if abort is not None:
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -12,14 +12,14 @@
 
 
 class StateSnapshot(msgspec.Struct):
-    """Contain the state that one box sends to another.
+    """State that one box sends to another.
 
     Attributes
     ----------
     proof_s : float
         Age of the proof of the table, seconds.
     table : bytes or None
-        As it was written, or None before any was read.
+        The table as it was written, or None before any was read.
     versions : dict of str to int
         The newest named version of the weights of each model.
     targets : dict of str to bytes
--- a/landingspool/gateway/stream.py
+++ b/landingspool/gateway/stream.py
@@ -25,7 +25,7 @@
     reply : listener.Reply
     status : int
     headers : list
-        Of the first target that answered; a later target's are dropped.
+        Those of the first target that answered; later ones are dropped.
 
     Attributes
     ----------
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -6,8 +6,8 @@
 
 Abandoned parts, whose write was never completed and no longer advances, are
 freed by one box only: the owner of the store among the boxes that are known.
-It does so right after it has read the complete list of the store, and reports
-to the others how much of the store's capacity is taken.
+The owner does so right after it has read the complete list of the store, and
+reports to the others how much of the store's capacity is taken.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 # list is some ten kilobytes.
 LIST_PERIOD_S = 6.0
 # Seconds within which an abandoned part must be freed after it is found.
-# After that, someone may be writing it again.
+# After that, a target may be writing it again.
 FREE_WITHIN_S = 0.2
 
 
--- a/landingspool/gateway/target_notices.py
+++ b/landingspool/gateway/target_notices.py
@@ -41,7 +41,7 @@
         Parameters
         ----------
         name : str
-            Of the target's incarnation.
+            Name of the target's incarnation.
         notices : notices.Notices
         asked : float
             When the request was sent, seconds.
@@ -65,7 +65,7 @@
     def take_answer(self, called, notices):
         """Apply the notices in the answer to a call that is no request.
 
-        It is not specified whether such answers name each limit, so an answer
+        Such answers need not name a limit that is in force, so an answer
         without one means nothing.
 
         Parameters
--- a/landingspool/gateway/upstream.py
+++ b/landingspool/gateway/upstream.py
@@ -30,8 +30,8 @@
 # Idle time after which a connection isn't used for requests that must not be
 # repeated.  A target may drop a connection without closing it; a request
 # sent on it is then lost, and nobody can tell whether it was executed.  With
-# 0.3 s two in three requests open a connection, with 2 s four in ten; with
-# 4 s 0.36 of 100 more requests fail.
+# 0.3 s two in three requests open a connection, with 2 s four in ten; with 4 s
+# the share of failed requests rises by 0.36 percentage points.
 MAX_UNREPEATABLE_IDLE_S = 2.0
 # TCP keep-alive: idle seconds before the first probe, seconds between probes,
 # and unanswered probes after which the kernel drops the connection.  A dead
@@ -43,7 +43,8 @@
 # unacknowledged for this time.  An acknowledgement takes some ms, or 0.2 and
 # 0.6 s where one or two packets are lost.
 USER_TIMEOUT_MS = 800
-# Per target and box; a box has about ten concurrent requests at a target.
+# Idle connections per target and box; a box has about ten concurrent requests
+# at a target.
 MAX_IDLE_CONNECTIONS = 24
 MAX_HEAD_BYTES = 32 * 1024
 
