--- a/landingspool/decisions/directory.py
+++ b/landingspool/decisions/directory.py
@@ -1,6 +1,7 @@
 """Directory of cached context in the targets' caches and in the stores.
 
-A key names a piece under a weight version, both for caches and for stores.
+A key names a piece of a prompt under a weight version, both for caches and
+for stores.
 The engines' cache events arrive late and with gaps, so an entry for a cache
 is only a hint for routing: a wrong hint costs time but never leads to a
 wrong answer.  An entry for a store contains the identifier of the write, so
@@ -10,6 +11,7 @@
 import collections
 import typing
 
+# Maximum number of keys for the cache of each target, and for all stores.
 MAX_CACHED_KEYS = 4096
 MAX_STORED_KEYS = 65536
 
--- a/landingspool/decisions/gateway/reachability.py
+++ b/landingspool/decisions/gateway/reachability.py
@@ -58,7 +58,7 @@
         Parameters
         ----------
         watched : bool
-            Whether other boxes watch it.
+            Whether other boxes watch the target.
 
         >>> known = Reachability()
         >>> known.record_failed('a', 10.0)
@@ -115,7 +115,7 @@
             self._outages[name] = out._replace(due=min(out.due, now))
 
     def is_out(self, name):
-        """Return whether a target gets no requests."""
+        """Return whether a target is excluded as unreachable."""
         return name in self._outages
 
     def list_due(self, now):
--- a/landingspool/decisions/identity.py
+++ b/landingspool/decisions/identity.py
@@ -2,7 +2,8 @@
 
 The workspace is part of the chain, so that a key of one workspace can never
 name the context of another.  The weight version is hashed last, because a
-scheduler knows it only once a target has been chosen.
+scheduler knows it only once a target has been chosen.  The module also hashes
+bearer keys and computes the checksums of blocks.
 """
 
 import functools
