--- a/landingspool/platform/catalogue.py
+++ b/landingspool/platform/catalogue.py
@@ -299,7 +299,8 @@
         Unix time in seconds, from which readers compute the ages.
     """
     rows = [
-        [notice.life, int(wall_s * 1000) - notice.age_ms] for notice in notices
+        [notice.incarnation, int(wall_s * 1000) - notice.age_ms]
+        for notice in notices
     ]
     return json.dumps(rows).encode()
 
@@ -309,7 +310,7 @@
 
     >>> notice = peer_digests.CrashNotice(b'f', 7, 500)
     >>> read_crashes('66', write_crashes([notice], 10.0), 12.0)
-    [CrashNotice(fingerprint=b'f', life=7, age_ms=2500)]
+    [CrashNotice(fingerprint=b'f', incarnation=7, age_ms=2500)]
 
     Raises
     ------
@@ -319,9 +320,11 @@
         fingerprint = bytes.fromhex(key)
         return [
             peer_digests.CrashNotice(
-                fingerprint, int(life), max(int(wall_s * 1000) - int(at), 0)
+                fingerprint,
+                int(incarnation),
+                max(int(wall_s * 1000) - int(at), 0),
             )
-            for life, at in json.loads(value)
+            for incarnation, at in json.loads(value)
         ]
     except DECODE_ERRORS as error:
         raise Malformed(f'endings: {error!r}') from error
