--- a/landingspool/decisions/configuration.py
+++ b/landingspool/decisions/configuration.py
@@ -205,7 +205,7 @@
 def fold_publish(table, publish):
     """Apply a publish at the table's own offset."""
     offset = table.offset
-    if find_edit(table, publish.edit) is not None:
+    if get_edit_outcome(table, publish.edit) is not None:
         return table, Result(offset, publish.edit, DUPLICATE)
     problems = check_publish(table, publish)
     conflicts = () if problems else list_conflicts(table, publish)
@@ -284,7 +284,7 @@
     return table._replace(by_key=by_key)
 
 
-def find_edit(table, edit):
+def get_edit_outcome(table, edit):
     """Return the outcome of an edit id, or None if it is unknown."""
     for seen, outcome in reversed(table.edits):
         if seen == edit:
--- a/landingspool/decisions/gateway/leaving.py
+++ b/landingspool/decisions/gateway/leaving.py
@@ -34,7 +34,7 @@
 
     Attributes
     ----------
-    life : int
+    incarnation : int
         Hash of the incarnation's name (peer_digests.hash_target).
     heard : float
         When the answer with the announcement was received.
@@ -44,7 +44,7 @@
         Whether the incarnation has ended.
     """
 
-    life: int
+    incarnation: int
     heard: float
     box: str = ''
     is_over: bool = False
@@ -86,18 +86,18 @@
         ----------
         notice : peer_digests.LeavingNotice
         """
-        self._put(Known(notice.life, now - notice.age_ms / 1000, box))
+        self._put(Known(notice.incarnation, now - notice.age_ms / 1000, box))
 
-    def record_over(self, name):
+    def record_incarnation_end(self, name):
         """Record that an incarnation ended, keeping its announcement.
 
         The incarnation may only seem to have ended: its entry may have lapsed.
         """
-        life = peer_digests.hash_target(name)
-        known = self._known.get(life)
+        incarnation = peer_digests.hash_target(name)
+        known = self._known.get(incarnation)
         if known is not None and not known.is_over:
-            self._known[life] = known._replace(is_over=True)
-            self.fresh.append(self._known[life])
+            self._known[incarnation] = known._replace(is_over=True)
+            self.fresh.append(self._known[incarnation])
 
     def holds(self, name):
         """Return whether a target has announced that it is leaving."""
@@ -107,12 +107,13 @@
         """Return the Known announcement of an incarnation, or None."""
         return self._known.get(peer_digests.hash_target(name))
 
-    def tell(self, now):
+    def list_due_notices(self, now):
         """Return the notices for the next digest.
 
         >>> leaving = Leaving()
         >>> leaving.record_reported('t', 1.0)
-        >>> [len(leaving.tell(at)) for at in (1.1, 2.1, 2.3, 2.5, 2.7, 70.0)]
+        >>> times = (1.1, 2.1, 2.3, 2.5, 2.7, 70.0)
+        >>> [len(leaving.list_due_notices(at)) for at in times]
         [1, 0, 0, 0, 1, 0]
         """
         self._digests += 1
@@ -133,9 +134,9 @@
         ]
 
     def _put(self, known):
-        if known.life in self._known:
+        if known.incarnation in self._known:
             return
-        self._known[known.life] = known
+        self._known[known.incarnation] = known
         self.fresh.append(known)
         bounded.trim(self._known, MAX_KNOWN)
 
@@ -143,4 +144,4 @@
 def make_notice(known, now):
     """Return the peer_digests.LeavingNotice of a Known."""
     age_ms = max(int((now - known.heard) * 1000), 0)
-    return peer_digests.LeavingNotice(known.life, age_ms)
+    return peer_digests.LeavingNotice(known.incarnation, age_ms)
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -81,8 +81,8 @@
         )
 
     def _get_quarantine(self, now):
-        endings = self._view.endings
-        return endings.get_quarantine(self._state.fingerprint, now)
+        crashes = self._view.crashes
+        return crashes.get_quarantine(self._state.fingerprint, now)
 
     async def _send_and_receive(self):
         outcome = outcomes.Lost('stopped', outcomes.Cause.STOPPED)
@@ -100,7 +100,7 @@
         if state.sends > 1:
             self._hub.metrics.repeats.inc()
         self._view.record_sent(plan, state.work, self._sent_at)
-        self._view.endings.record_sent(state.fingerprint)
+        self._view.crashes.record_sent(state.fingerprint)
         self._hub.recorder.record(
             'dispatched',
             request=state.call.name,
@@ -131,16 +131,16 @@
         Crashes are counted by fingerprint and over all attempts, since callers
         send a request that crashes targets again, under a new id each time.
         """
-        endings, name = self._view.endings, self._plan.entry.name
+        crashes, name = self._view.crashes, self._plan.entry.name
         fingerprint, now = self._state.fingerprint, self._hub.clock()
-        endings.record_done(fingerprint)
+        crashes.record_done(fingerprint)
         if isinstance(outcome, outcomes.Done):
-            endings.record_served(fingerprint, now)
+            crashes.record_served(fingerprint, now)
         elif isinstance(outcome, outcomes.Lost):
             if outcome.cause == outcomes.Cause.CLOSED:
-                endings.record_lost(fingerprint, name, now)
+                crashes.record_lost(fingerprint, name, now)
             elif outcome.cause in outcomes.UNANSWERED:
-                endings.record_unanswered(fingerprint, name, now)
+                crashes.record_unanswered(fingerprint, name, now)
         self._hub.crash_records.check()
 
     def _log_loss(self, outcome):
@@ -366,7 +366,7 @@
             name, head.notices, self._sent_at, certain
         )
         if answered and not head.notices.asks_backoff:
-            self._view.bars.backoffs.record_answered(name, self._sent_at)
+            self._view.exclusions.backoffs.record_answered(name, self._sent_at)
 
     def _record_version(self, version):
         prompt = self._state.work.prompt
--- a/landingspool/gateway/crash_records.py
+++ b/landingspool/gateway/crash_records.py
@@ -40,17 +40,17 @@
 
     def __init__(self, hub):
         self._hub = hub
-        self._crashes = hub.view.endings
+        self._crashes = hub.view.crashes
         self._pending = {}
         self._written = {}
         self._wake = asyncio.Event()
 
     def check(self):
         """Log new and lifted quarantines, and have them written."""
-        endings = self._crashes
-        for fingerprint in pop_all(endings.fresh):
+        crashes = self._crashes
+        for fingerprint in pop_all(crashes.fresh):
             self._record_quarantine(fingerprint)
-        for fingerprint in pop_all(endings.lifted):
+        for fingerprint in pop_all(crashes.lifted):
             self._hub.recorder.record('bar_lifted', content=fingerprint.hex())
             self._put(fingerprint, b'')
 
@@ -102,7 +102,8 @@
             'barred',
             content=fingerprint.hex(),
             targets=[
-                found.get(notice.life, notice.life) for notice in notices
+                found.get(notice.incarnation, notice.incarnation)
+                for notice in notices
             ],
             ages_ms=[notice.age_ms for notice in notices],
         )
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -113,8 +113,7 @@
             address
             for address, store in table.context_stores.items()
             if store.managed
-            and ownership.find_owner(address, boxes)
-            == self._hub.deployment.box
+            and ownership.get_owner(address, boxes) == self._hub.deployment.box
         ]
 
     def _drop_unowned_counts(self, owned):
@@ -122,9 +121,9 @@
 
         The count of the new owner is newer; peers would apply both in turn.
         """
-        rooms = self._hub.view.rooms
-        for address in [name for name in rooms if name not in owned]:
-            del rooms[address]
+        store_usage = self._hub.view.store_usage
+        for address in [name for name in store_usage if name not in owned]:
+            del store_usage[address]
 
     def _list_due_stores(self, owned):
         """List the owned stores whose complete list is due."""
@@ -157,7 +156,7 @@
             address, updates._replace(clock_ms=clock_ms), sent, now
         )
         index = context_index.get(address)
-        hub.view.rooms[address] = index.epoch, index.taken
+        hub.view.store_usage[address] = index.epoch, index.taken
         parts = self._abandoned.record(address, index, now)
         if not parts:
             return
--- a/landingspool/operators/server.py
+++ b/landingspool/operators/server.py
@@ -140,7 +140,7 @@
         edit = request.query.get('edit', '')
         result = self.follower.results.get(edit)
         if result is None:
-            outcome = configuration.find_edit(self.follower.table, edit)
+            outcome = configuration.get_edit_outcome(self.follower.table, edit)
             reply = {'edit': edit, 'outcome': outcome or 'not_heard'}
         else:
             reply = describe_result(result)
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -130,7 +130,7 @@
         await site.wait_until(lambda: len(deployment.engines) == ENGINES)
         later = await deployment.start_box('later')
         await site.wait_until(
-            lambda: later.view.endings.list_quarantined(later.clock())
+            lambda: later.view.crashes.list_quarantined(later.clock())
         )
         ends = engines.count_ends()
         got = await site.ask(later, '/resumed/a', FATAL)
@@ -183,16 +183,16 @@
     for name in ('a', 'b', 'c'):
         first.record_lost(b'fatal', name, 0.0)
     for number in range(50):
-        first.tell(0.2 * number)
+        first.list_due_notices(0.2 * number)
     for number in range(5):
-        for notice in first.tell(10.0 + 0.2 * number):
+        for notice in first.list_due_notices(10.0 + 0.2 * number):
             cut.take(notice, 10.0 + 0.2 * number)
     assert cut.list_quarantined(12.0) == [b'fatal']
 
 
 def exchange_digests(boxes, now, rng):
     """Send each box's notices to some peers, as its digests do."""
-    sent = [box.tell(now) for box in boxes]
+    sent = [box.list_due_notices(now) for box in boxes]
     for number, notices in enumerate(sent):
         others = [box for box in boxes if box is not boxes[number]]
         near, far = others[:64], others[64:]
@@ -203,20 +203,20 @@
 
 
 def test_who_is_answered_whole_or_whose_targets_live_is_not_barred():
-    endings = crashes_module.Crashes()
+    crashes = crashes_module.Crashes()
     for name in ('a', 'b', 'c'):
-        endings.record_lost(b'whole', name, 1.0)
-        endings.record_lost(b'cut', name, 1.0)
-    assert set(endings.list_quarantined(1.6)) == {b'whole', b'cut'}
-    endings.record_served(b'whole', 1.2)
-    endings.record_alive('b', 1.3)
-    assert endings.list_quarantined(1.6) == []
+        crashes.record_lost(b'whole', name, 1.0)
+        crashes.record_lost(b'cut', name, 1.0)
+    assert set(crashes.list_quarantined(1.6)) == {b'whole', b'cut'}
+    crashes.record_served(b'whole', 1.2)
+    crashes.record_alive('b', 1.3)
+    assert crashes.list_quarantined(1.6) == []
     # An older notice that arrives late restores nothing.
     for name in ('a', 'b', 'c'):
-        life = peer_digests.hash_target(name)
-        endings.take(peer_digests.CrashNotice(b'whole', life, 600), 1.5)
-        endings.take(peer_digests.CrashNotice(b'cut', life, 500), 1.5)
-    assert endings.list_quarantined(1.6) == []
+        incarnation = peer_digests.hash_target(name)
+        crashes.take(peer_digests.CrashNotice(b'whole', incarnation, 600), 1.5)
+        crashes.take(peer_digests.CrashNotice(b'cut', incarnation, 500), 1.5)
+    assert crashes.list_quarantined(1.6) == []
 
 
 def test_a_word_that_takes_back_is_not_told_for_ever():
@@ -225,7 +225,7 @@
     boxes[0].record_served(b'whole', 0.5)
     for number in range(3, 60):
         now = 0.2 * number
-        sent = [box.tell(now) for box in boxes]
+        sent = [box.list_due_notices(now) for box in boxes]
         for notices, box in itertools.product(sent, boxes):
             for notice in notices:
                 # The transit of 5 ms is missing from the age in the notice.
@@ -234,10 +234,10 @@
 
 
 def test_a_target_that_is_back_under_its_id_has_ended_all_the_same():
-    endings = crashes_module.Crashes()
-    endings.record_lost(b'f', 'a', 1.0)
-    endings.record_alive('a', 3.5)
-    assert endings.count(b'f', 4.0) == 1
+    crashes = crashes_module.Crashes()
+    crashes.record_lost(b'f', 'a', 1.0)
+    crashes.record_alive('a', 3.5)
+    assert crashes.count(b'f', 4.0) == 1
 
 
 def test_one_break_among_many_of_the_same_request_refuses_none():
--- a/tests/gateway/test_sweeper.py
+++ b/tests/gateway/test_sweeper.py
@@ -119,16 +119,16 @@
     async def check(deployment):
         hub, context_store = await start(deployment)
         (address,) = hub.view.table.context_stores
-        await site.wait_until(lambda: address in hub.view.rooms)
+        await site.wait_until(lambda: address in hub.view.store_usage)
         name = next(
             name
             for name in map('box{}'.format, itertools.count(2))
-            if ownership.find_owner(address, ['box1', name]) == name
+            if ownership.get_owner(address, ['box1', name]) == name
         )
         hub.peering.peers[name] = registry.Peer(
             name, context_store.address, 'd1'
         )
-        await site.wait_until(lambda: not hub.view.rooms)
+        await site.wait_until(lambda: not hub.view.store_usage)
         await context_store.close()
 
     site.run(check)
