--- a/landingspool/callers/__init__.py
+++ b/landingspool/callers/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers."""
+"""HTTP interface to callers."""
--- a/landingspool/callers/parsing.py
+++ b/landingspool/callers/parsing.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request into a typed order, or says what is wrong."""
+"""Parsing and validation of callers' requests."""
 
 import typing
 
@@ -7,16 +7,16 @@
 from landingspool.decisions import claims
 from landingspool.decisions import identity
 
-MOST_TOKENS = 32_768
+MAX_TOKENS = 32_768
 DEFAULT_TOKENS = 64
-MOST_KEY_CHARS = 200
-YES_NO = {'true': True, 'false': False, '1': True, '0': False}
+MAX_KEY_CHARS = 200
+BOOLEANS = {'true': True, 'false': False, '1': True, '0': False}
 
 
 class Body(msgspec.Struct):
-    """The completions request that model clients speak.
+    """Body of a request in the format of the completions API.
 
-    Fields that are not known here are ignored, as those clients expect.
+    Unknown fields are ignored, as clients of that API expect.
     """
 
     model: str
@@ -29,8 +29,15 @@
 class Key(typing.NamedTuple):
     """A caller's idempotency key.
 
-    `minted` is the wall-clock time inside it, or None where a box made it;
-    `box` is then that box with its incarnation.
+    Attributes
+    ----------
+    text : str
+        The whole key.
+    minted : float or None
+        Wall-clock time in seconds that the key contains; None if a box
+        created the key.
+    box : str
+        Box that created the key, with its incarnation; otherwise empty.
     """
 
     text: str
@@ -38,8 +45,8 @@
     box: str
 
 
-class Demand(typing.NamedTuple):
-    """A request as it was understood."""
+class ParsedRequest(typing.NamedTuple):
+    """A validated completions request."""
 
     request: str
     model: str
@@ -53,14 +60,14 @@
 
 
 class Fault(typing.NamedTuple):
-    """Why a request can't be taken: status and text."""
+    """HTTP status and message of a request that is refused."""
 
     status: int
     text: str
 
 
 def read_bearer(headers):
-    """Give the bearer key of a request, or ``''``.
+    """Return the bearer token of a request, or ``''``.
 
     >>> read_bearer({'authorization': 'Bearer abc'})
     'abc'
@@ -70,7 +77,10 @@
 
 
 def read_key(text):
-    """Read an idempotency key: it names its time or the box that made it.
+    """Parse an idempotency key; return None if it is malformed.
+
+    A key starts with the Unix time of its creation, or names the box that
+    created it.
 
     >>> read_key('1700000000-abc').minted
     1700000000.0
@@ -79,12 +89,12 @@
     >>> read_key('abc') is None
     True
     """
-    if not text.isprintable() or len(text) > MOST_KEY_CHARS:
+    if not text.isprintable() or len(text) > MAX_KEY_CHARS:
         return None
     if text.startswith('box:') and text.count(':') == 2:
         return Key(text, None, text.split(':')[1])
-    seconds, dash, rest = text.partition('-')
-    if not (seconds.isascii() and seconds.isdigit() and dash and rest):
+    seconds, dash, suffix = text.partition('-')
+    if not (seconds.isascii() and seconds.isdigit() and dash and suffix):
         return None
     if len(seconds) > 12:
         return None
@@ -92,37 +102,37 @@
 
 
 def read_demand(request, name, settings, plain_models):
-    """Read a request.
+    """Parse and validate a request.
 
     Parameters
     ----------
     request : http.Request
     name : str
-        Identity to use where the caller gives none.
+        Request identity to use if the caller gives none.
     settings : settings.Callers
     plain_models : set of str
-        Services whose calls may not be repeated unless the caller says so.
+        Services whose requests are not repeatable unless the caller says so.
 
     Returns
     -------
-    tuple of (Demand or None, Fault or None)
+    tuple of (ParsedRequest or None, Fault or None)
     """
     try:
         body = msgspec.json.decode(request.body, type=Body)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         return None, Fault(400, f'body: {error}')
-    if not 1 <= body.max_tokens <= MOST_TOKENS:
-        text = f'max_tokens {body.max_tokens}: expected 1 to {MOST_TOKENS}'
+    if not 1 <= body.max_tokens <= MAX_TOKENS:
+        text = f'max_tokens {body.max_tokens}: expected 1 to {MAX_TOKENS}'
         return None, Fault(400, text)
     if not body.prompt:
-        return None, Fault(400, 'prompt: expected a text that is not empty')
+        return None, Fault(400, 'prompt: expected a non-empty text')
     headers, fault = read_headers(request.headers, settings)
     if fault is not None:
         return None, fault
     repeatable = headers.repeatable
     if repeatable is None:
         repeatable = body.model not in plain_models
-    demand = Demand(
+    parsed = ParsedRequest(
         request=headers.request or name,
         model=body.model,
         adapter=body.adapter,
@@ -133,11 +143,15 @@
         repeatable=repeatable,
         key=headers.key,
     )
-    return demand, None
+    return parsed, None
 
 
 class Headers(typing.NamedTuple):
-    """What the headers of a request say."""
+    """Values parsed from the headers of a request.
+
+    `request` is empty, and `repeatable` and `key` are None, if the caller
+    does not give them.
+    """
 
     request: str
     deadline_s: float
@@ -146,26 +160,28 @@
 
 
 def read_headers(headers, settings):
-    """Read the headers; returns (Headers or None, Fault or None)."""
+    """Parse the headers; return (Headers or None, Fault or None)."""
     request = headers.get('x-request-id', '')
     if request and not (request.isprintable() and len(request) <= 64):
-        return None, Fault(400, 'x-request-id: expected 1 to 64 characters')
+        return None, Fault(
+            400, 'x-request-id: expected 1 to 64 printable characters'
+        )
     deadline_s, fault = read_deadline(headers, settings)
     if fault is not None:
         return None, fault
-    said = headers.get('x-repeatable', '').lower()
-    if said and said not in YES_NO:
+    repeatable = headers.get('x-repeatable', '').lower()
+    if repeatable and repeatable not in BOOLEANS:
         return None, Fault(400, 'x-repeatable: expected true or false')
     text = headers.get('idempotency-key', '')
     key = read_key(text) if text else None
     if text and key is None:
-        hint = 'expected SECONDS-TEXT, with the Unix time of its making'
+        hint = 'expected SECONDS-TEXT, with the Unix time of its creation'
         return None, Fault(400, f'idempotency-key: {hint}')
-    return Headers(request, deadline_s, YES_NO.get(said), key), None
+    return Headers(request, deadline_s, BOOLEANS.get(repeatable), key), None
 
 
 def read_deadline(headers, settings):
-    """Read the deadline in seconds; returns (float or None, Fault)."""
+    """Parse the deadline in seconds; return (float or None, Fault or None)."""
     text = headers.get('x-deadline-s')
     if text is None:
         return settings.default_deadline_s, None
@@ -174,18 +190,23 @@
     except ValueError:
         seconds = 0.0
     if not 0 < seconds <= settings.max_deadline_s:
-        most = settings.max_deadline_s
-        return None, Fault(400, f'x-deadline-s: expected 0 to {most}')
+        max_s = settings.max_deadline_s
+        return None, Fault(
+            400, f'x-deadline-s: expected more than 0 and at most {max_s}'
+        )
     return seconds, None
 
 
 def name_claim(workspace, key):
-    """Give the key of a claim: one workspace's never meets another's."""
+    """Return the key of a claim, which differs between workspaces."""
     return identity.hash_key(f'{workspace}\0{key.text}')[:32]
 
 
 def check_key(key, now, window):
-    """Give the Fault of a key that is too old or too new, or None."""
+    """Return the Fault of a key that is too old or too new, or None.
+
+    `now` is wall-clock time and `window` the claim window, both in seconds.
+    """
     if key.minted is None or claims.check_age(key.minted, now, window):
         return None
     half = window / 2
--- a/landingspool/callers/server.py
+++ b/landingspool/callers/server.py
@@ -1,7 +1,7 @@
-"""HTTP towards callers: from the bearer key to the final answer.
+"""HTTP server for callers, from authentication to the final answer.
 
-Every request gets its answer as soon as it is known.  One that is given up
-says whether it may have run and when to come back.
+Each request is answered as soon as its outcome is known.  A rejection states
+whether the request may have run and when the caller may retry.
 """
 
 import asyncio
@@ -21,33 +21,34 @@
 from landingspool.targets import client as targets
 from landingspool import verdict
 
-RECALL_S = 0.6
-AWAY_RETRY_AFTER_S = 5.0
+RECALL_TIMEOUT_S = 0.6
+BOX_GONE_RETRY_AFTER_S = 5.0
 NOT_RUN = verdict.Verdict.NOT_RUN
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 
 
-class Outlet:
-    """Where the tokens of one answer go: gathered, and streamed if wanted.
+class AnswerWriter:
+    """Collects the tokens of one answer; streams them if the caller asks.
 
     Parameters
     ----------
     exchange : http.Exchange
-    demand : parsing.Demand
+    parsed : parsing.ParsedRequest
     request : str
+        Request identity that the caller sees.
     """
 
-    def __init__(self, exchange, demand, request):
+    def __init__(self, exchange, parsed, request):
         self._exchange = exchange
-        self._demand = demand
+        self._parsed = parsed
         self.request = request
         self.parts = []
         self.gone = False
 
     async def send(self, text):
-        """Take one token."""
+        """Collect one token and stream it if the caller asks for that."""
         self.parts.append(text)
-        if not self._demand.stream or self.gone:
+        if not self._parsed.stream or self.gone:
             return
         try:
             if not self._exchange.started:
@@ -58,16 +59,16 @@
             self.gone = True
 
     async def finish(self, end):
-        """Send the end of a whole answer; returns what to keep of it."""
+        """Finish a complete answer; return the StoredAnswer for retries."""
         body = answers.make_completion(
-            self.request, self._demand.model, ''.join(self.parts), end
+            self.request, self._parsed.model, ''.join(self.parts), end
         )
         headers = [('x-request-id', self.request), ('x-verdict', 'ran')]
-        if not self._demand.stream:
+        if not self._parsed.stream:
             await self._exchange.send_body(
                 200, body, 'application/json', headers
             )
-            return answers.Kept(200, body)
+            return answers.StoredAnswer(200, body)
         if not self._exchange.started:
             await self._exchange.start_stream(headers)
         last = self._make_event('', 'stop')
@@ -75,33 +76,33 @@
         await self._exchange.send_event(last)
         await self._exchange.send_event('[DONE]')
         await self._exchange.finish()
-        return answers.Kept(200, body)
+        return answers.StoredAnswer(200, body)
 
     async def reject(self, rejection):
-        """Send a final rejection; returns what to keep of it."""
+        """Send a final rejection; return the StoredAnswer for retries."""
         body = answers.describe(rejection, self.request)
         status = answers.get_status(rejection)
-        kept = answers.Kept(status, json.dumps(body).encode())
+        stored = answers.StoredAnswer(status, json.dumps(body).encode())
         if self._exchange.started:
             await self._exchange.send_event(body)
             await self._exchange.finish()
         else:
             headers = answers.list_headers(rejection, self.request)
             await self._exchange.send_json(status, body, headers)
-        return kept
+        return stored
 
     def _make_event(self, text, finish=None):
         choice = {'index': 0, 'text': text, 'finish_reason': finish}
         return {
             'id': self.request,
             'object': 'text_completion',
-            'model': self._demand.model,
+            'model': self._parsed.model,
             'choices': [choice],
         }
 
 
 class Serving:
-    """Serves callers; shared by all requests of this box.
+    """Handles callers' requests; shared by all requests of this box.
 
     Parameters
     ----------
@@ -109,7 +110,7 @@
     claims : claimer.Claimer
     settings : settings.Callers
     wall : callable
-        Gives the seconds of the wall clock.
+        Returns wall-clock time in seconds.
     """
 
     def __init__(self, core, claims, settings, wall):
@@ -121,57 +122,57 @@
         self.archive = answers.Archive()
         self.stopping = False
         self._numbers = itertools.count(1)
-        self._recalls = {}
+        self._pending_recalls = {}
         core.message_handlers[messages.Recall] = self._answer_recall
-        core.message_handlers[messages.Recalled] = self._take_recalled
+        core.message_handlers[messages.Recalled] = self._handle_recalled
 
     @property
     def name(self):
-        """This box with its incarnation."""
+        """Name of this box with its incarnation."""
         node = self.core.node
         return f'{node.box}.{node.incarnation}'
 
     def plain_models(self):
-        """Give the names of the plain services."""
+        """Return the names of the plain services."""
         members = self.core.node.members.values()
         return {m.model for m in members if m.kind == 'plain'}
 
     async def handle(self, request, exchange):
-        """Answer one HTTP request of a caller."""
-        call = ROUTES.get((request.method, request.path))
-        if call is None:
+        """Route one HTTP request of a caller to its handler."""
+        handler = ROUTES.get((request.method, request.path))
+        if handler is None:
             fault = http.BadRequest(404, 'no such route')
             await http.answer_bad_request(exchange, fault)
             return
-        await call(self, request, exchange)
+        await handler(self, request, exchange)
 
     async def complete(self, request, exchange):
-        """Serve a completions request."""
+        """Handle a completions request."""
         name = f'{self.core.node.box}-{next(self._numbers)}'
         row, rejection = self._admit(request)
         if rejection is None:
-            demand, fault = parsing.read_demand(
+            parsed, fault = parsing.read_demand(
                 request, name, self.settings, self.plain_models()
             )
-            rejection = self._check(demand, fault, row)
+            rejection = self._check(parsed, fault, row)
         if rejection is not None:
             await self._reject_early(exchange, name, row, rejection)
             return
         self.core.recorder.record(
             'accepted',
-            request=f'{row.workspace}/{demand.request}',
+            request=f'{row.workspace}/{parsed.request}',
             workspace=row.workspace,
-            model=demand.model,
+            model=parsed.model,
             offset=self.core.node.table.offset,
         )
-        outlet = Outlet(exchange, demand, demand.request)
-        if demand.key is not None and not demand.repeatable:
-            await self._serve_keyed(demand, row, outlet, exchange)
+        writer = AnswerWriter(exchange, parsed, parsed.request)
+        if parsed.key is not None and not parsed.repeatable:
+            await self._serve_keyed(parsed, row, writer, exchange)
         else:
-            await self._serve_free(demand, row, outlet, exchange)
+            await self._serve_unkeyed(parsed, row, writer, exchange)
 
-    async def mint(self, request, exchange):
-        """Give a caller a key of this box, which needs no platform."""
+    async def create_key(self, request, exchange):
+        """Create an idempotency key that is settled without the platform."""
         row, rejection = self._admit(request)
         if rejection is not None:
             await self._reject_early(exchange, 'keys', row, rejection)
@@ -180,13 +181,13 @@
         await exchange.send_json(200, {'key': key})
 
     async def health(self, request, exchange):
-        """Tell the balancer whether to send requests here."""
+        """Report to the load balancer whether this box takes requests."""
         ready = not self.stopping and self.core.node.table.offset >= 0
         status = 200 if ready else 503
         await exchange.send_json(status, {'ready': ready})
 
     def _admit(self, request):
-        """Find the workspace; returns (row or None, Rejection or None)."""
+        """Authenticate; return (records.Row or None, Rejection or None)."""
         if self.stopping:
             return None, answers.Rejection('stopping', NOT_RUN, 1.0)
         table = self.core.node.table
@@ -199,19 +200,19 @@
             return None, answers.Rejection('unauthorized', NOT_RUN)
         return table.rows[name], None
 
-    def _check(self, demand, fault, row):
-        """Check a demand against what is served; a Rejection or None."""
+    def _check(self, parsed, fault, row):
+        """Check the model and the key; return a Rejection or None."""
         if fault is not None:
             return answers.Rejection(
                 'bad_request', NOT_RUN, 0.0, fault.text, fault.status
             )
         members = self.core.node.members.values()
-        if not any(m.model == demand.model and m.model for m in members):
+        if not any(m.model == parsed.model and m.model for m in members):
             return answers.Rejection('unknown_model', NOT_RUN)
-        if demand.key is None:
+        if parsed.key is None:
             return None
         window = self.claims.ledger.window
-        fault = parsing.check_key(demand.key, self.wall(), window)
+        fault = parsing.check_key(parsed.key, self.wall(), window)
         if fault is None:
             return None
         return answers.Rejection('key_age', NOT_RUN, 0.0, fault.text)
@@ -224,108 +225,111 @@
         status = answers.get_status(rejection)
         await exchange.send_json(status, body, headers)
 
-    async def _serve_free(self, demand, row, outlet, exchange):
-        # The caller is watched while it waits: work for one that has left
-        # is cancelled, unless it must not be cut off in the middle.
-        work = asyncio.ensure_future(self._serve(demand, row, outlet))
+    async def _serve_unkeyed(self, parsed, row, writer, exchange):
+        # If the caller disconnects, the work is cancelled, unless the request
+        # is not repeatable and must therefore not be interrupted.
+        work = asyncio.ensure_future(self._serve(parsed, row, writer))
         gone = asyncio.ensure_future(exchange.wait_gone())
         await asyncio.wait((work, gone), return_when=asyncio.FIRST_COMPLETED)
         gone.cancel()
         if not work.done():
-            outlet.gone = True
-            request = f'{row.workspace}/{demand.request}'
+            writer.gone = True
+            request = f'{row.workspace}/{parsed.request}'
             self.core.recorder.record('caller_gone', request=request)
-            if demand.repeatable:
+            if parsed.repeatable:
                 work.cancel()
-        await asyncio.gather(work, return_exceptions=demand.repeatable)
+        await asyncio.gather(work, return_exceptions=parsed.repeatable)
 
-    async def _serve(self, demand, row, outlet):
-        """Run the session and send its final answer; returns a Kept."""
-        served = session.Session(self, demand, row, outlet)
+    async def _serve(self, parsed, row, writer):
+        """Run the session, send its answer and return the StoredAnswer."""
+        request_session = session.Session(self, parsed, row, writer)
         try:
-            result = await served.run()
+            result = await request_session.run()
         except Exception as error:
-            # A fault of ours is no reason to leave a caller waiting.
+            # The caller gets an answer also after an internal error.
             self.core.recorder.record('fault', error=repr(error))
-            result = answers.Rejection('fault', served.life.verdict)
+            result = answers.Rejection('fault', request_session.state.verdict)
         try:
             if isinstance(result, targets.End):
                 self._count(row.workspace, 'ok', verdict.Verdict.RAN, None)
-                return await outlet.finish(result)
+                return await writer.finish(result)
             self._count(
-                row.workspace, result.reason, result.verdict, served.request
+                row.workspace,
+                result.reason,
+                result.verdict,
+                request_session.request,
             )
-            return await outlet.reject(result)
+            return await writer.reject(result)
         except (OSError, h11.ProtocolError):
-            return self._keep_unsent(result, outlet, demand)
+            return self._make_unsent_answer(result, writer, parsed)
 
-    def _keep_unsent(self, result, outlet, demand):
+    def _make_unsent_answer(self, result, writer, parsed):
         if isinstance(result, targets.End):
             body = answers.make_completion(
-                outlet.request, demand.model, ''.join(outlet.parts), result
+                writer.request, parsed.model, ''.join(writer.parts), result
             )
-            return answers.Kept(200, body)
-        body = answers.describe(result, outlet.request)
+            return answers.StoredAnswer(200, body)
+        body = answers.describe(result, writer.request)
         status = answers.get_status(result)
-        return answers.Kept(status, json.dumps(body).encode())
+        return answers.StoredAnswer(status, json.dumps(body).encode())
 
-    async def _serve_keyed(self, demand, row, outlet, exchange):
-        key = parsing.name_claim(row.workspace, demand.key)
+    async def _serve_keyed(self, parsed, row, writer, exchange):
+        key = parsing.name_claim(row.workspace, parsed.key)
         running = self.archive.find(key)
         if running is not None:
-            await self._join(running, outlet, exchange)
+            await self._await_and_replay(running, writer, exchange)
             return
-        rejection = await self._win(demand, key)
+        rejection = await self._claim_key(parsed, key)
         if rejection is not None:
-            if isinstance(rejection, answers.Kept):
-                await self._replay(rejection, outlet, exchange)
+            if isinstance(rejection, answers.StoredAnswer):
+                await self._replay(rejection, writer, exchange)
                 return
             self._count(
                 row.workspace, rejection.reason, rejection.verdict, key
             )
-            await outlet.reject(rejection)
+            await writer.reject(rejection)
             return
-        # Its own task: the run goes on to its end when the caller leaves,
-        # and a retry of the caller finds the answer.
-        work = self.core.spawn(self._run_keyed(demand, row, outlet, key))
+        # Runs in a task of its own, so that it continues when the caller
+        # disconnects and a retry finds the answer.
+        work = self.core.spawn(self._run_keyed(parsed, row, writer, key))
         await asyncio.shield(work)
 
-    async def _run_keyed(self, demand, row, outlet, key):
-        kept = None
+    async def _run_keyed(self, parsed, row, writer, key):
+        stored = None
         try:
-            kept = await self._serve(demand, row, outlet)
+            stored = await self._serve(parsed, row, writer)
         finally:
-            if kept is not None:
-                self.archive.finish(key, kept)
+            if stored is not None:
+                self.archive.finish(key, stored)
 
-    async def _win(self, demand, key):
-        """Win the key; None if this box may run it.
+    async def _claim_key(self, parsed, key):
+        """Claim the key; return None if this box may run the request.
 
         Returns
         -------
-        answers.Rejection, answers.Kept or None
+        answers.Rejection, answers.StoredAnswer or None
         """
         if self.archive.is_spent(key):
             return answers.Rejection('key_held', MAY_HAVE_RUN)
-        if demand.key.minted is None:
-            return await self._win_minted(demand, key)
-        outcome = await self.claims.claim(key, demand.key.minted)
-        return await WINS[type(outcome)](self, outcome, key)
+        if parsed.key.minted is None:
+            return await self._claim_box_key(parsed, key)
+        outcome = await self.claims.claim(key, parsed.key.minted)
+        return await CLAIM_HANDLERS[type(outcome)](self, outcome, key)
 
-    async def _win_minted(self, demand, key):
-        if demand.key.box == self.name:
+    async def _claim_box_key(self, parsed, key):
+        if parsed.key.box == self.name:
             self.archive.begin(key)
             return None
-        return await self._recall(demand.key.box, key)
+        return await self._recall(parsed.key.box, key)
 
-    async def _take_won(self, outcome, key):
+    async def _handle_won(self, outcome, key):
         running = self.archive.find(key)
         if running is not None:
             return answers.Rejection('key_running', MAY_HAVE_RUN, 1.0)
         self.archive.begin(key)
         return None
 
-    async def _take_held(self, outcome, key):
+    async def _handle_held(self, outcome, key):
         if outcome.holder.box == self.name:
             running = self.archive.find(key)
             if running is not None:
@@ -333,28 +337,30 @@
             return answers.Rejection('key_held', MAY_HAVE_RUN)
         return await self._recall(outcome.holder.box, key)
 
-    async def _take_unsettled(self, outcome, key):
-        after = claimer.DOWN_RETRY_AFTER_S
-        return answers.Rejection('log_down', NOT_RUN, after, outcome.reason)
+    async def _handle_unsettled(self, outcome, key):
+        retry_after = claimer.DOWN_RETRY_AFTER_S
+        return answers.Rejection(
+            'log_down', NOT_RUN, retry_after, outcome.reason
+        )
 
     async def _recall(self, holder, key):
-        """Ask the box that holds a key what became of its request."""
+        """Ask the box that holds a key for the outcome of its request."""
         box = holder.rpartition('.')[0]
         future = asyncio.get_running_loop().create_future()
         number = f'recall-{next(self._numbers)}'
-        self._recalls[number] = future
+        self._pending_recalls[number] = future
         recall = messages.Recall(number, self.core.node.box, f'{holder} {key}')
         self.core.links.send(box, recall)
         try:
-            async with asyncio.timeout(RECALL_S):
+            async with asyncio.timeout(RECALL_TIMEOUT_S):
                 reply = await future
         except TimeoutError:
-            after = AWAY_RETRY_AFTER_S
-            return answers.Rejection('box_gone', MAY_HAVE_RUN, after)
+            retry_after = BOX_GONE_RETRY_AFTER_S
+            return answers.Rejection('box_gone', MAY_HAVE_RUN, retry_after)
         finally:
-            del self._recalls[number]
+            del self._pending_recalls[number]
         if reply.answer:
-            return answers.Kept(reply.status, reply.answer)
+            return answers.StoredAnswer(reply.status, reply.answer)
         if reply.verdict == NOT_RUN.value:
             return answers.Rejection('key_held', NOT_RUN)
         return answers.Rejection('key_running', MAY_HAVE_RUN, 1.0)
@@ -363,56 +369,58 @@
         holder, _, key = message.claim.partition(' ')
         reply = messages.Recalled(message.request, MAY_HAVE_RUN.value, 0, b'')
         if holder == self.name:
-            reply = self._look_up(message.request, key)
+            reply = self._make_recall_reply(message.request, key)
         self.core.links.send(sender, reply)
 
-    def _look_up(self, request, key):
+    def _make_recall_reply(self, request, key):
         running = self.archive.find(key)
         if running is None and not self.archive.is_spent(key):
-            # It has not run here, and from now on it never will: what the
-            # caller is told stays true.
+            # The request has not run here.  The key is marked as spent, so
+            # that the verdict reported to the caller stays true.
             self.archive.spend(key)
             return messages.Recalled(request, NOT_RUN.value, 0, b'')
         if running is not None and running.done():
-            kept = running.result()
-            return messages.Recalled(request, 'ran', kept.status, kept.body)
+            stored = running.result()
+            return messages.Recalled(
+                request, 'ran', stored.status, stored.body
+            )
         return messages.Recalled(request, MAY_HAVE_RUN.value, 0, b'')
 
-    def _take_recalled(self, sender, message):
-        future = self._recalls.get(message.request)
+    def _handle_recalled(self, sender, message):
+        future = self._pending_recalls.get(message.request)
         if future is not None and not future.done():
             future.set_result(message)
 
-    async def _join(self, running, outlet, exchange):
-        kept = await asyncio.shield(running)
-        await self._replay(kept, outlet, exchange)
+    async def _await_and_replay(self, running, writer, exchange):
+        stored = await asyncio.shield(running)
+        await self._replay(stored, writer, exchange)
 
-    async def _replay(self, kept, outlet, exchange):
-        headers = [('x-request-id', outlet.request), ('x-replayed', 'true')]
+    async def _replay(self, stored, writer, exchange):
+        headers = [('x-request-id', writer.request), ('x-replayed', 'true')]
         await exchange.send_body(
-            kept.status, kept.body, 'application/json', headers
+            stored.status, stored.body, 'application/json', headers
         )
 
-    def _count(self, workspace, outcome, known, request):
+    def _count(self, workspace, outcome, execution, request):
         metric = self.core.metrics.answers
-        metric.labels(workspace, outcome, known.value).inc()
+        metric.labels(workspace, outcome, execution.value).inc()
         if request is not None:
             self.core.recorder.record(
                 'rejected',
                 request=request,
                 reason=outcome,
-                verdict=known.value,
+                verdict=execution.value,
             )
 
 
 ROUTES = {
     ('POST', '/v1/completions'): Serving.complete,
-    ('POST', '/v1/keys'): Serving.mint,
+    ('POST', '/v1/keys'): Serving.create_key,
     ('GET', '/healthz'): Serving.health,
 }
 
-WINS = {
-    claimer.Won: Serving._take_won,
-    claimer.Held: Serving._take_held,
-    claimer.Unsettled: Serving._take_unsettled,
+CLAIM_HANDLERS = {
+    claimer.Won: Serving._handle_won,
+    claimer.Held: Serving._handle_held,
+    claimer.Unsettled: Serving._handle_unsettled,
 }
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -1,8 +1,9 @@
-"""One request of a caller, from its place to its final answer.
+"""Execution of one caller's request, from its grant to its final answer.
 
-The task owns the caller's connection and the stream from the target.  The
-state table of `decisions.request` says what may happen next and which
-verdict an answer has; this module only carries it out.
+The task of a request owns the caller's connection and the stream from the
+target.  The state table of `decisions.request` defines which transitions are
+allowed and which verdict an answer has; this module does the input and
+output.
 """
 
 import asyncio
@@ -13,28 +14,38 @@
 from landingspool.decisions import identity
 from landingspool.decisions import messages
 from landingspool.decisions import records
-from landingspool.decisions import request as life_module
+from landingspool.decisions import request as request_module
 from landingspool import http
 from landingspool.targets import client as targets
 from landingspool import timeouts
 from landingspool import verdict
 
-Signal = life_module.Signal
-MOST_TRIES = 4
-MOST_RESUMES = 2
+Signal = request_module.Signal
+MAX_ATTEMPTS = 4
+MAX_RESUMES = 2
 RESUME_WAIT_S = 0.2
-FIRST_RETRY_AFTER_S = 2.0
-# Seconds until the beat runs again in a process that stood still.
-BEAT_S = 0.1
-# Reasons of this box not to use a grant, which tell nothing of its target.
-FROZEN = 'frozen'
-OLD = 'age'
-OWN_REASONS = (FROZEN, OLD)
+DEFAULT_RETRY_AFTER_S = 2.0
+# Seconds until the heartbeat runs again in a process that has stalled.
+HEARTBEAT_S = 0.1
+# Reasons for dropping a grant that lie in this box, not in its target.
+STALLED = 'frozen'
+EXPIRED = 'age'
+LOCAL_REASONS = (STALLED, EXPIRED)
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 
 
 class Part(typing.NamedTuple):
-    """What became of one try at a target."""
+    """Result of one attempt at a target.
+
+    Attributes
+    ----------
+    outcome : str
+        Key of `RESULT_HANDLERS`.
+    end : targets.End or None
+        End mark of a complete answer.
+    reason : str
+        Cause of a failed attempt.
+    """
 
     outcome: str
     end: targets.End | None = None
@@ -42,89 +53,90 @@
 
 
 class Session:
-    """Serves one request.
+    """Runs one request.
 
     Parameters
     ----------
-    box : server.Serving
-        What all requests of this box share.
-    demand : parsing.Demand
+    server : server.Serving
+        State that all requests of this box share.
+    parsed : parsing.ParsedRequest
     row : records.Row
-    outlet : Outlet
-        Where the answer goes.
+        Settings of the workspace.
+    writer : server.AnswerWriter
+        Receives the tokens of the answer.
     """
 
-    def __init__(self, box, demand, row, outlet):
-        self.box = box
-        self.core = box.core
-        self.demand = demand
+    def __init__(self, server, parsed, row, writer):
+        self.server = server
+        self.core = server.core
+        self.parsed = parsed
         self.row = row
-        self.outlet = outlet
-        self.request = f'{row.workspace}/{demand.request}'
-        self.life = life_module.RequestState(demand.repeatable)
+        self.writer = writer
+        self.request = f'{row.workspace}/{parsed.request}'
+        self.state = request_module.RequestState(parsed.repeatable)
         self.started = self.core.timer.now()
-        self.deadline = self.started + demand.deadline_s
+        self.deadline = self.started + parsed.deadline_s
         self.first_token = -1.0
         self.avoid = []
-        self._failed_tries = 0
+        self._failed_attempts = 0
         self.pieces = ()
         self._address = None
         self.fetched = 0, 0.0
-        self.sent = 0.0
+        self.sent_at = 0.0
 
     async def run(self):
-        """Serve the request; returns an answers.Kept or a Rejection."""
+        """Run the request; return its targets.End or an answers.Rejection."""
         inbox = self.core.open_inbox(self.request)
         try:
-            async with timeouts.Timeout(self.demand.deadline_s):
-                return await self._serve(inbox)
+            async with timeouts.Timeout(self.parsed.deadline_s):
+                return await self._run(inbox)
         except TimeoutError:
             self._cancel_run()
-            return self._reject('deadline', FIRST_RETRY_AFTER_S)
+            return self._reject('deadline', DEFAULT_RETRY_AFTER_S)
         except asyncio.CancelledError:
             self._cancel_run()
             raise
         finally:
             self.core.close_inbox(self.request)
 
-    async def _serve(self, inbox):
+    async def _run(self, inbox):
         self._step(Signal.START)
         self._open()
         while True:
-            message, came = await inbox.get()
+            message, received_at = await inbox.get()
             if isinstance(message, messages.Refuse):
                 self._step(Signal.REFUSE)
                 return self._reject(message.reason, message.retry_after)
-            part = await self._use(message, came)
-            if part.reason == FROZEN:
-                await asyncio.sleep(BEAT_S)
-            final = self._judge(message, part)
-            if final is not None:
-                return final
+            result = await self._use_grant(message, received_at)
+            if result.reason == STALLED:
+                await asyncio.sleep(HEARTBEAT_S)
+            answer = self._handle_result(message, result)
+            if answer is not None:
+                return answer
 
     def _open(self):
-        demand = self.demand
+        parsed = self.parsed
         origin = identity.Origin(
-            self.row.workspace, demand.model, demand.adapter
+            self.row.workspace, parsed.model, parsed.adapter
         )
-        self.pieces = identity.hash_pieces(origin, demand.prompt)
+        self.pieces = identity.hash_pieces(origin, parsed.prompt)
         work = records.Work(
             request=self.request,
             entry=self.core.node.box,
             workspace=self.row.workspace,
-            model=demand.model,
+            model=parsed.model,
             pieces=self.pieces,
-            prompt_tokens=identity.estimate_tokens(demand.prompt),
-            output_tokens=demand.max_tokens,
+            prompt_tokens=identity.estimate_tokens(parsed.prompt),
+            output_tokens=parsed.max_tokens,
             waited=0.0,
-            left=demand.deadline_s,
+            left=parsed.deadline_s,
             offset=self.core.node.table.offset,
         )
         now = self.core.timer.now()
         self.core.perform(self.core.node.open_request(work, now))
 
-    async def _use(self, grant, came):
-        """Use a grant: import context, dispatch, stream."""
+    async def _use_grant(self, grant, received_at):
+        """Use a grant: import cached context, dispatch, relay the answer."""
         self._step(Signal.GRANT)
         self._record(
             'granted',
@@ -135,18 +147,18 @@
             cached=grant.cached,
         )
         self._address = self.core.get_address(grant.target)
-        began = self.core.timer.now()
-        reason = self._find_stale(grant, came)
+        import_started = self.core.timer.now()
+        reason = self._find_stale(grant, received_at)
         if reason:
             return self._drop_stale(grant, reason)
-        use = await self._import(grant)
-        # A block that did not come in time counts as one that was slow.
-        tried = min(len(use) + 1, len(grant.fetch))
-        self.fetched = tried, self.core.timer.now() - began
-        if use:
-            # A transfer takes time of its own; the place was ours for all
-            # of it, so the age of the decision starts again after it.
-            came += self.core.timer.now() - began
+        imported = await self._import_blocks(grant)
+        # An import that failed is counted too, with the time that it took.
+        attempted = min(len(imported) + 1, len(grant.fetch))
+        self.fetched = attempted, self.core.timer.now() - import_started
+        if imported:
+            # The slot stays reserved during the import, so its duration does
+            # not count towards the age of the decision.
+            received_at += self.core.timer.now() - import_started
         stall_s = None if self._is_plain() else targets.STALL_S
         stream = targets.Stream(self.core.client, self._address, stall_s)
         try:
@@ -155,19 +167,20 @@
             self._step(Signal.STALE)
             return Part('unreachable', None, str(error))
         try:
-            return await self._dispatch(stream, grant, came, use)
+            return await self._dispatch(stream, grant, received_at, imported)
         finally:
             stream.close()
 
-    def _find_stale(self, grant, came):
-        # Looked at right before the first byte: whether this process ran
-        # all the time, how old the decision is, and the target's state.
+    def _find_stale(self, grant, received_at):
+        # Returns why a grant must not be used, or ''.  This is checked right
+        # before the first byte is sent: whether this process has stalled, the
+        # age of the decision and the state of the target.
         now = self.core.timer.now()
         node = self.core.node
         if not node.entry.is_fresh(now):
-            return FROZEN
-        if now - came > grant.valid:
-            return OLD
+            return STALLED
+        if now - received_at > grant.valid:
+            return EXPIRED
         return node.may_dispatch(grant)
 
     def _drop_stale(self, grant, reason):
@@ -175,37 +188,37 @@
         self._record('stale', target=grant.target, reason=reason)
         return Part('stale', None, reason)
 
-    async def _dispatch(self, stream, grant, came, use):
-        reason = self._find_stale(grant, came)
+    async def _dispatch(self, stream, grant, received_at, imported):
+        reason = self._find_stale(grant, received_at)
         if reason:
             return self._drop_stale(grant, reason)
         self._step(Signal.SEND)
-        self._record('dispatched', target=grant.target, tries=self.life.tries)
+        self._record('dispatched', target=grant.target, tries=self.state.tries)
         job = targets.Job(
             request=f'{self.request}#{grant.grant}',
             salt=self.row.workspace,
-            prompt=self.demand.prompt,
-            max_tokens=self.demand.max_tokens,
+            prompt=self.parsed.prompt,
+            max_tokens=self.parsed.max_tokens,
             priority=self.row.priority,
             version=grant.version,
             pieces=[
                 identity.add_version(piece, grant.version)
                 for piece in self.pieces
             ],
-            use=use,
+            use=imported,
         )
-        refused = await stream.start(job)
-        if isinstance(refused, targets.NotStarted):
+        refusal = await stream.start(job)
+        if isinstance(refusal, targets.NotStarted):
             self._step(Signal.NOT_STARTED)
-            return Part('not_started', None, refused.reason)
-        part = await self._relay(stream, refused)
-        resumes, tokens = 0, self.life.tokens
-        while part.outcome == 'cut' and resumes < MOST_RESUMES:
+            return Part('not_started', None, refusal.reason)
+        result = await self._relay(stream, refusal)
+        resumes, tokens = 0, self.state.tokens
+        while result.outcome == 'cut' and resumes < MAX_RESUMES:
             resumes += 1
-            part = await self._resume(grant, part)
-            if self.life.tokens > tokens:
-                resumes, tokens = 0, self.life.tokens
-        return part
+            result = await self._resume(grant, result)
+            if self.state.tokens > tokens:
+                resumes, tokens = 0, self.state.tokens
+        return result
 
     async def _relay(self, stream, cut):
         if cut is not None:
@@ -217,126 +230,132 @@
             if isinstance(event, targets.Cut):
                 self._step(Signal.CUT)
                 return Part('cut', None, event.reason)
-            if event.index != self.life.tokens:
-                # A gap or a token that came twice would make the answer
-                # wrong, so the stream is taken up again at the right one.
+            if event.index != self.state.tokens:
+                # A missing or repeated token would corrupt the answer, so
+                # the stream is resumed at the expected token.
                 self._step(Signal.CUT)
-                return Part('cut', None, f'token {event.index}')
+                return Part('cut', None, f'unexpected token {event.index}')
             self._step(Signal.TOKEN)
             if self.first_token < 0:
                 self._record_first()
-            await self.outlet.send(event.text)
+            await self.writer.send(event.text)
         self._step(Signal.CUT)
-        return Part('cut', None, 'no end')
+        return Part('cut', None, 'no end mark')
 
     def _take_end(self, end):
-        if end.output_tokens != self.life.tokens:
+        if end.output_tokens != self.state.tokens:
             self._step(Signal.CUT)
-            return Part('cut', None, 'the end mark counts other tokens')
+            return Part('cut', None, 'end mark with a wrong token count')
         self._step(Signal.END)
         return Part('ok', end)
 
-    async def _resume(self, grant, part):
-        """Take up a broken stream where it ended; this runs nothing."""
+    async def _resume(self, grant, result):
+        """Resume a broken stream after its last token, without a new run."""
         if self._is_plain():
-            return part
+            return result
         await asyncio.sleep(RESUME_WAIT_S)
         stream = targets.Stream(self.core.client, self._address)
         try:
             await stream.connect()
             request = f'{self.request}#{grant.grant}'
-            refused = await stream.resume(request, self.life.tokens)
-            if refused is not None:
-                return part
+            refusal = await stream.resume(request, self.state.tokens)
+            if refusal is not None:
+                return result
             self._step(Signal.RESUME)
-            self._record('resumed', target=grant.target, at=self.life.tokens)
+            self._record('resumed', target=grant.target, at=self.state.tokens)
             return await self._relay(stream, None)
         except http.Unreachable:
-            return part
+            return result
         finally:
             stream.close()
 
-    async def _import(self, grant):
-        """Import the granted blocks; a mismatch ends the chain there."""
-        use = []
+    async def _import_blocks(self, grant):
+        """Import the granted blocks in order, up to the first failure.
+
+        Returns
+        -------
+        tuple of str
+            Names of the imports that the target may use.
+        """
+        imported = []
         first = grant.cached // identity.PIECE_TOKENS
         for index, block in enumerate(grant.fetch):
             piece = self.pieces[first + index]
-            wanted = identity.add_version(piece, grant.version)
+            expected = identity.add_version(piece, grant.version)
             name = f'{grant.grant}.{index}'
-            if not await self._import_block(block, wanted, name):
+            if not await self._import_block(block, expected, name):
                 break
-            use.append(name)
-        return tuple(use)
+            imported.append(name)
+        return tuple(imported)
 
-    async def _import_block(self, block, wanted, name):
+    async def _import_block(self, block, expected, name):
         store = self.core.node.members.get(block.store)
         receipt = None
-        if store is not None and block.key == wanted:
+        if store is not None and block.key == expected:
             receipt = await targets.import_block(
                 self.core.client, self._address, store, block, name
             )
-        failed = 'unreadable'
+        problem = 'unreadable'
         if receipt is not None:
-            failed = blocks.check_receipt(block, receipt)
-        if failed:
-            self._record('mismatch', write=block.write, check=failed)
-            freed = messages.Freed(self._pool(), (block.key,))
-            self._send_scheduler(freed)
+            problem = blocks.check_receipt(block, receipt)
+        if problem:
+            self._record('mismatch', write=block.write, check=problem)
+            freed = messages.Freed(self._get_pool(), (block.key,))
+            self._send_to_scheduler(freed)
             return False
         labels = self.row.workspace, 'import'
         self.core.metrics.store_bytes.labels(*labels).inc(block.length)
         self._record('imported', write=block.write)
         return True
 
-    def _judge(self, grant, part):
-        """Give the place back; returns the final answer or None."""
-        self._give_back(grant, part)
-        return JUDGES[part.outcome](self, grant, part)
+    def _handle_result(self, grant, result):
+        """Release the slot; return the final answer, or None to continue."""
+        self._return_grant(grant, result)
+        return RESULT_HANDLERS[result.outcome](self, grant, result)
 
-    def _judge_ok(self, grant, part):
-        self._count(part.end)
-        self.box.budget.earn()
-        return part.end
+    def _handle_ok(self, grant, result):
+        self._count_tokens(result.end)
+        self.server.budget.earn()
+        return result.end
 
-    def _judge_unused(self, grant, part):
-        # Nothing was sent, so nothing was spent: no retry is counted, but
-        # the tries are bounded all the same.
-        return self._ask_again(grant, part)
+    def _handle_unused(self, grant, result):
+        # Nothing was sent, so the retry budget is not charged.  The number of
+        # attempts is limited all the same.
+        return self._ask_again(grant, result)
 
-    def _judge_not_started(self, grant, part):
-        return self._ask_again(grant, part)
+    def _handle_not_started(self, grant, result):
+        return self._ask_again(grant, result)
 
-    def _judge_cut(self, grant, part):
-        if not life_module.may_retry(self.life):
-            self._record('broken', target=grant.target, reason=part.reason)
+    def _handle_cut(self, grant, result):
+        if not request_module.may_retry(self.state):
+            self._record('broken', target=grant.target, reason=result.reason)
             self._step(Signal.GIVE_UP)
-            return self._reject('broken', 0.0, part.reason)
-        if not self.box.budget.take():
+            return self._reject('broken', 0.0, result.reason)
+        if not self.server.budget.take():
             self._step(Signal.GIVE_UP)
-            return self._reject('retry_budget', FIRST_RETRY_AFTER_S)
+            return self._reject('retry_budget', DEFAULT_RETRY_AFTER_S)
         self._step(Signal.RETRY)
         self.core.metrics.retries.labels('cut').inc()
-        return self._ask_again(grant, part)
+        return self._ask_again(grant, result)
 
-    def _ask_again(self, grant, part):
-        self._record('retried', target=grant.target, reason=part.reason)
-        self._failed_tries += 1
-        if part.reason not in OWN_REASONS:
+    def _ask_again(self, grant, result):
+        self._record('retried', target=grant.target, reason=result.reason)
+        self._failed_attempts += 1
+        if result.reason not in LOCAL_REASONS:
             self.avoid.append(grant.target)
-        if self._failed_tries >= MOST_TRIES:
+        if self._failed_attempts >= MAX_ATTEMPTS:
             self._step(Signal.GIVE_UP)
-            return self._reject('no_target', FIRST_RETRY_AFTER_S)
+            return self._reject('no_target', DEFAULT_RETRY_AFTER_S)
         now = self.core.timer.now()
         actions = self.core.node.ask_again(self.request, self.avoid, now)
         self.core.perform(actions)
         return None
 
-    def _give_back(self, grant, part):
-        end = part.end
+    def _return_grant(self, grant, result):
+        end = result.end
         now = self.core.timer.now()
-        outcome = DONE_OUTCOMES[part.outcome]
-        if part.reason == 'leaving':
+        outcome = DONE_OUTCOMES[result.outcome]
+        if result.reason == 'leaving':
             outcome = 'leaving'
         done = messages.Done(
             request=self.request,
@@ -345,32 +364,32 @@
             prompt_tokens=end.prompt_tokens if end else 0,
             cached_tokens=end.cached_tokens if end else 0,
             output_tokens=end.output_tokens if end else 0,
-            pool=self._pool(),
-            held=now - self.sent,
+            pool=self._get_pool(),
+            held=now - self.sent_at,
             fetched=self.fetched[0],
             fetch_s=self.fetched[1],
         )
         self.core.perform(self.core.node.give_back(done, now))
 
     def _is_plain(self):
-        return self.demand.model in self.box.plain_models()
+        return self.parsed.model in self.server.plain_models()
 
-    def _pool(self):
-        case = self.core.node.entry.get_tracked(self.request)
-        return case.work.pool if case else ''
+    def _get_pool(self):
+        tracked = self.core.node.entry.get_tracked(self.request)
+        return tracked.work.pool if tracked else ''
 
-    def _send_scheduler(self, message):
-        case = self.core.node.entry.get_tracked(self.request)
-        if case is None:
+    def _send_to_scheduler(self, message):
+        tracked = self.core.node.entry.get_tracked(self.request)
+        if tracked is None:
             return
         now = self.core.timer.now()
-        if case.scheduler == self.core.node.box:
+        if tracked.scheduler == self.core.node.box:
             node = self.core.node
             self.core.perform(node.handle(node.box, message, now))
         else:
-            self.core.links.send(case.scheduler, message)
+            self.core.links.send(tracked.scheduler, message)
 
-    def _count(self, end):
+    def _count_tokens(self, end):
         workspace = self.row.workspace
         metrics = self.core.metrics
         computed = max(end.prompt_tokens - end.cached_tokens, 0)
@@ -394,38 +413,41 @@
         self._record('first_token', seconds=round(seconds, 4))
 
     def _step(self, signal):
-        self.life = life_module.advance(self.life, signal)
+        self.state = request_module.advance(self.state, signal)
         if signal is Signal.SEND:
-            self.sent = self.core.timer.now()
+            self.sent_at = self.core.timer.now()
 
     def _reject(self, reason, retry_after=0.0, detail=''):
-        known = self.life.verdict
-        return answers.Rejection(reason, known, retry_after, detail)
+        current_verdict = self.state.verdict
+        return answers.Rejection(reason, current_verdict, retry_after, detail)
 
     def _record(self, event, **fields):
         self.core.recorder.record(event, request=self.request, **fields)
 
     def _cancel_run(self):
-        # A request that was never sent gives its place back when it is
-        # closed; one that may run is cancelled at its target.
-        if self.life.verdict is MAY_HAVE_RUN and self._address:
-            case = self.core.node.entry.get_tracked(self.request)
-            if case is not None and case.grant is not None:
-                run = f'{self.request}#{case.grant.grant}'
+        # The slot of a request that was never sent is released when the
+        # request is closed.  One that may be running is cancelled at its
+        # target.
+        if self.state.verdict is MAY_HAVE_RUN and self._address:
+            tracked = self.core.node.entry.get_tracked(self.request)
+            if tracked is not None and tracked.grant is not None:
+                run = f'{self.request}#{tracked.grant.grant}'
                 call = targets.cancel(self.core.client, self._address, run)
                 self.core.spawn(call)
-                self._give_back(case.grant, Part('cut', None, 'cancelled'))
+                self._return_grant(
+                    tracked.grant, Part('cut', None, 'cancelled')
+                )
 
 
-JUDGES = {
-    'ok': Session._judge_ok,
-    'stale': Session._judge_unused,
-    'unreachable': Session._judge_unused,
-    'not_started': Session._judge_not_started,
-    'cut': Session._judge_cut,
+RESULT_HANDLERS = {
+    'ok': Session._handle_ok,
+    'stale': Session._handle_unused,
+    'unreachable': Session._handle_unused,
+    'not_started': Session._handle_not_started,
+    'cut': Session._handle_cut,
 }
 
-# What the scheduler is told of each outcome of a try.
+# Outcome of an attempt as it is reported to the scheduler.
 DONE_OUTCOMES = {
     'ok': 'ok',
     'stale': 'unused',
