--- a/landingspool/box.py
+++ b/landingspool/box.py
@@ -127,7 +127,7 @@
 
     def _build_servers(self, wall):
         settings = self.settings
-        self.serving = callers.Serving(
+        self.serving = callers.CallerServer(
             self.core, self.claims, settings.callers, wall
         )
         self.operating = operators.Operating(
--- a/landingspool/callers/answers.py
+++ b/landingspool/callers/answers.py
@@ -128,7 +128,7 @@
     }
 
 
-class Archive:
+class AnswerCache:
     """Answers of non-repeatable requests, stored for retries.
 
     An entry is created when this box wins the key.  Retries that arrive
--- a/landingspool/callers/parsing.py
+++ b/landingspool/callers/parsing.py
@@ -101,7 +101,7 @@
     return Key(text, float(seconds), '')
 
 
-def read_demand(request, name, settings, plain_models):
+def parse_request(request, name, settings, plain_models):
     """Parse and validate a request.
 
     Parameters
@@ -197,7 +197,7 @@
     return seconds, None
 
 
-def name_claim(workspace, key):
+def make_claim_key(workspace, key):
     """Return the key of a claim, which differs between workspaces."""
     return identity.hash_key(f'{workspace}\0{key.text}')[:32]
 
--- a/landingspool/callers/server.py
+++ b/landingspool/callers/server.py
@@ -101,7 +101,7 @@
         }
 
 
-class Serving:
+class CallerServer:
     """Handles callers' requests; shared by all requests of this box.
 
     Parameters
@@ -119,7 +119,7 @@
         self.claims = claims
         self.settings = settings
         self.budget = retries.Budget()
-        self.archive = answers.Archive()
+        self.answer_cache = answers.AnswerCache()
         self.stopping = False
         self._numbers = itertools.count(1)
         self._pending_recalls = {}
@@ -151,7 +151,7 @@
         name = f'{self.core.node.box}-{next(self._numbers)}'
         row, rejection = self._admit(request)
         if rejection is None:
-            parsed, fault = parsing.read_demand(
+            parsed, fault = parsing.parse_request(
                 request, name, self.settings, self.plain_models()
             )
             rejection = self._check(parsed, fault, row)
@@ -274,8 +274,8 @@
         return answers.StoredAnswer(status, json.dumps(body).encode())
 
     async def _serve_keyed(self, parsed, row, writer, exchange):
-        key = parsing.name_claim(row.workspace, parsed.key)
-        running = self.archive.find(key)
+        key = parsing.make_claim_key(row.workspace, parsed.key)
+        running = self.answer_cache.find(key)
         if running is not None:
             await self._await_and_replay(running, writer, exchange)
             return
@@ -300,7 +300,7 @@
             stored = await self._serve(parsed, row, writer)
         finally:
             if stored is not None:
-                self.archive.finish(key, stored)
+                self.answer_cache.finish(key, stored)
 
     async def _claim_key(self, parsed, key):
         """Claim the key; return None if this box may run the request.
@@ -309,7 +309,7 @@
         -------
         answers.Rejection, answers.StoredAnswer or None
         """
-        if self.archive.is_spent(key):
+        if self.answer_cache.is_spent(key):
             return answers.Rejection('key_held', MAY_HAVE_RUN)
         if parsed.key.minted is None:
             return await self._claim_box_key(parsed, key)
@@ -318,20 +318,20 @@
 
     async def _claim_box_key(self, parsed, key):
         if parsed.key.box == self.name:
-            self.archive.begin(key)
+            self.answer_cache.begin(key)
             return None
         return await self._recall(parsed.key.box, key)
 
     async def _handle_won(self, outcome, key):
-        running = self.archive.find(key)
+        running = self.answer_cache.find(key)
         if running is not None:
             return answers.Rejection('key_running', MAY_HAVE_RUN, 1.0)
-        self.archive.begin(key)
+        self.answer_cache.begin(key)
         return None
 
     async def _handle_held(self, outcome, key):
         if outcome.holder.box == self.name:
-            running = self.archive.find(key)
+            running = self.answer_cache.find(key)
             if running is not None:
                 return await asyncio.shield(running)
             return answers.Rejection('key_held', MAY_HAVE_RUN)
@@ -373,11 +373,11 @@
         self.core.links.send(sender, reply)
 
     def _make_recall_reply(self, request, key):
-        running = self.archive.find(key)
-        if running is None and not self.archive.is_spent(key):
+        running = self.answer_cache.find(key)
+        if running is None and not self.answer_cache.is_spent(key):
             # The request has not run here.  The key is marked as spent, so
             # that the verdict reported to the caller stays true.
-            self.archive.spend(key)
+            self.answer_cache.spend(key)
             return messages.Recalled(request, NOT_RUN.value, 0, b'')
         if running is not None and running.done():
             stored = running.result()
@@ -414,13 +414,13 @@
 
 
 ROUTES = {
-    ('POST', '/v1/completions'): Serving.complete,
-    ('POST', '/v1/keys'): Serving.create_key,
-    ('GET', '/healthz'): Serving.health,
+    ('POST', '/v1/completions'): CallerServer.complete,
+    ('POST', '/v1/keys'): CallerServer.create_key,
+    ('GET', '/healthz'): CallerServer.health,
 }
 
 CLAIM_HANDLERS = {
-    claimer.Won: Serving._handle_won,
-    claimer.Held: Serving._handle_held,
-    claimer.Unsettled: Serving._handle_unsettled,
+    claimer.Won: CallerServer._handle_won,
+    claimer.Held: CallerServer._handle_held,
+    claimer.Unsettled: CallerServer._handle_unsettled,
 }
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -34,7 +34,7 @@
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 
 
-class Part(typing.NamedTuple):
+class AttemptResult(typing.NamedTuple):
     """Result of one attempt at a target.
 
     Attributes
@@ -57,7 +57,7 @@
 
     Parameters
     ----------
-    server : server.Serving
+    server : server.CallerServer
         State that all requests of this box share.
     parsed : parsing.ParsedRequest
     row : records.Row
@@ -100,12 +100,12 @@
             self.core.close_inbox(self.request)
 
     async def _run(self, inbox):
-        self._step(Signal.START)
+        self._advance(Signal.START)
         self._open()
         while True:
             message, received_at = await inbox.get()
             if isinstance(message, messages.Refuse):
-                self._step(Signal.REFUSE)
+                self._advance(Signal.REFUSE)
                 return self._reject(message.reason, message.retry_after)
             result = await self._use_grant(message, received_at)
             if result.reason == STALLED:
@@ -137,7 +137,7 @@
 
     async def _use_grant(self, grant, received_at):
         """Use a grant: import cached context, dispatch, relay the answer."""
-        self._step(Signal.GRANT)
+        self._advance(Signal.GRANT)
         self._record(
             'granted',
             target=grant.target,
@@ -148,7 +148,7 @@
         )
         self._address = self.core.get_address(grant.target)
         import_started = self.core.timer.now()
-        reason = self._find_stale(grant, received_at)
+        reason = self._get_stale_reason(grant, received_at)
         if reason:
             return self._drop_stale(grant, reason)
         imported = await self._import_blocks(grant)
@@ -164,14 +164,14 @@
         try:
             await stream.connect()
         except http.Unreachable as error:
-            self._step(Signal.STALE)
-            return Part('unreachable', None, str(error))
+            self._advance(Signal.STALE)
+            return AttemptResult('unreachable', None, str(error))
         try:
             return await self._dispatch(stream, grant, received_at, imported)
         finally:
             stream.close()
 
-    def _find_stale(self, grant, received_at):
+    def _get_stale_reason(self, grant, received_at):
         # Returns why a grant must not be used, or ''.  This is checked right
         # before the first byte is sent: whether this process has stalled, the
         # age of the decision and the state of the target.
@@ -184,15 +184,15 @@
         return node.may_dispatch(grant)
 
     def _drop_stale(self, grant, reason):
-        self._step(Signal.STALE)
+        self._advance(Signal.STALE)
         self._record('stale', target=grant.target, reason=reason)
-        return Part('stale', None, reason)
+        return AttemptResult('stale', None, reason)
 
     async def _dispatch(self, stream, grant, received_at, imported):
-        reason = self._find_stale(grant, received_at)
+        reason = self._get_stale_reason(grant, received_at)
         if reason:
             return self._drop_stale(grant, reason)
-        self._step(Signal.SEND)
+        self._advance(Signal.SEND)
         self._record('dispatched', target=grant.target, tries=self.state.tries)
         job = targets.Job(
             request=f'{self.request}#{grant.grant}',
@@ -209,8 +209,8 @@
         )
         refusal = await stream.start(job)
         if isinstance(refusal, targets.NotStarted):
-            self._step(Signal.NOT_STARTED)
-            return Part('not_started', None, refusal.reason)
+            self._advance(Signal.NOT_STARTED)
+            return AttemptResult('not_started', None, refusal.reason)
         result = await self._relay(stream, refusal)
         resumes, tokens = 0, self.state.tokens
         while result.outcome == 'cut' and resumes < MAX_RESUMES:
@@ -222,32 +222,36 @@
 
     async def _relay(self, stream, cut):
         if cut is not None:
-            self._step(Signal.CUT)
-            return Part('cut', None, cut.reason)
+            self._advance(Signal.CUT)
+            return AttemptResult('cut', None, cut.reason)
         async for event in stream.read():
             if isinstance(event, targets.End):
-                return self._take_end(event)
+                return self._handle_end(event)
             if isinstance(event, targets.Cut):
-                self._step(Signal.CUT)
-                return Part('cut', None, event.reason)
+                self._advance(Signal.CUT)
+                return AttemptResult('cut', None, event.reason)
             if event.index != self.state.tokens:
                 # A missing or repeated token would corrupt the answer, so
                 # the stream is resumed at the expected token.
-                self._step(Signal.CUT)
-                return Part('cut', None, f'unexpected token {event.index}')
-            self._step(Signal.TOKEN)
+                self._advance(Signal.CUT)
+                return AttemptResult(
+                    'cut', None, f'unexpected token {event.index}'
+                )
+            self._advance(Signal.TOKEN)
             if self.first_token < 0:
                 self._record_first()
             await self.writer.send(event.text)
-        self._step(Signal.CUT)
-        return Part('cut', None, 'no end mark')
+        self._advance(Signal.CUT)
+        return AttemptResult('cut', None, 'no end mark')
 
-    def _take_end(self, end):
+    def _handle_end(self, end):
         if end.output_tokens != self.state.tokens:
-            self._step(Signal.CUT)
-            return Part('cut', None, 'end mark with a wrong token count')
-        self._step(Signal.END)
-        return Part('ok', end)
+            self._advance(Signal.CUT)
+            return AttemptResult(
+                'cut', None, 'end mark with a wrong token count'
+            )
+        self._advance(Signal.END)
+        return AttemptResult('ok', end)
 
     async def _resume(self, grant, result):
         """Resume a broken stream after its last token, without a new run."""
@@ -261,7 +265,7 @@
             refusal = await stream.resume(request, self.state.tokens)
             if refusal is not None:
                 return result
-            self._step(Signal.RESUME)
+            self._advance(Signal.RESUME)
             self._record('resumed', target=grant.target, at=self.state.tokens)
             return await self._relay(stream, None)
         except http.Unreachable:
@@ -329,12 +333,12 @@
     def _handle_cut(self, grant, result):
         if not request_module.may_retry(self.state):
             self._record('broken', target=grant.target, reason=result.reason)
-            self._step(Signal.GIVE_UP)
+            self._advance(Signal.GIVE_UP)
             return self._reject('broken', 0.0, result.reason)
         if not self.server.budget.take():
-            self._step(Signal.GIVE_UP)
+            self._advance(Signal.GIVE_UP)
             return self._reject('retry_budget', DEFAULT_RETRY_AFTER_S)
-        self._step(Signal.RETRY)
+        self._advance(Signal.RETRY)
         self.core.metrics.retries.labels('cut').inc()
         return self._ask_again(grant, result)
 
@@ -344,7 +348,7 @@
         if result.reason not in LOCAL_REASONS:
             self.avoid.append(grant.target)
         if self._failed_attempts >= MAX_ATTEMPTS:
-            self._step(Signal.GIVE_UP)
+            self._advance(Signal.GIVE_UP)
             return self._reject('no_target', DEFAULT_RETRY_AFTER_S)
         now = self.core.timer.now()
         actions = self.core.node.ask_again(self.request, self.avoid, now)
@@ -412,7 +416,7 @@
         )
         self._record('first_token', seconds=round(seconds, 4))
 
-    def _step(self, signal):
+    def _advance(self, signal):
         self.state = request_module.advance(self.state, signal)
         if signal is Signal.SEND:
             self.sent_at = self.core.timer.now()
@@ -435,7 +439,7 @@
                 call = targets.cancel(self.core.client, self._address, run)
                 self.core.spawn(call)
                 self._return_grant(
-                    tracked.grant, Part('cut', None, 'cancelled')
+                    tracked.grant, AttemptResult('cut', None, 'cancelled')
                 )
 
 
