--- a/landingspool/box.py
+++ b/landingspool/box.py
@@ -130,7 +130,7 @@
         self.serving = callers.CallerServer(
             self.core, self.claims, settings.callers, wall
         )
-        self.operating = operators.Operating(
+        self.operating = operators.OperatorApi(
             self.core, self.follower, self.log, settings.operators, self.drain
         )
 
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -373,7 +373,7 @@
             fetched=self.fetched[0],
             fetch_s=self.fetched[1],
         )
-        self.core.perform(self.core.node.give_back(done, now))
+        self.core.perform(self.core.node.return_grant(done, now))
 
     def _is_plain(self):
         return self.parsed.model in self.server.plain_models()
