--- a/landingspool/callers/answers.py
+++ b/landingspool/callers/answers.py
@@ -1,4 +1,4 @@
-"""What a caller is told: rejections with their verdict, and kept answers."""
+"""Error bodies, completion bodies, and the cache of answers for retries."""
 
 import asyncio
 import collections
@@ -8,14 +8,14 @@
 
 from landingspool import verdict
 
-KEPT_BYTES = 8 * 1024 * 1024
+MAX_STORED_BYTES = 8 * 1024 * 1024
 
 NOT_RUN = verdict.Verdict.NOT_RUN
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 
 
 class Reason(typing.NamedTuple):
-    """How a reason is shown: status and a plain text."""
+    """HTTP status and default message of a rejection reason."""
 
     status: int
     text: str
@@ -44,7 +44,20 @@
 
 
 class Rejection(typing.NamedTuple):
-    """A final answer other than a whole one."""
+    """Final answer of a request that was not completed.
+
+    Attributes
+    ----------
+    reason : str
+        Key of `REASONS`.
+    verdict : verdict.Verdict
+    retry_after : float
+        Seconds after which the caller may retry; 0 if none are named.
+    detail : str
+        Message that replaces the default one of the reason, unless empty.
+    status : int
+        HTTP status that replaces that of the reason, unless 0.
+    """
 
     reason: str
     verdict: verdict.Verdict
@@ -53,15 +66,15 @@
     status: int = 0
 
 
-class Kept(typing.NamedTuple):
-    """A final answer that a late retry gets again."""
+class StoredAnswer(typing.NamedTuple):
+    """Final answer that is stored for later retries with the same key."""
 
     status: int
     body: bytes
 
 
 def describe(rejection, request):
-    """Give the JSON body of a rejection."""
+    """Return the JSON body of a rejection."""
     reason = REASONS[rejection.reason]
     return {
         'error': {
@@ -75,7 +88,7 @@
 
 
 def list_headers(rejection, request):
-    """List the headers of a rejection."""
+    """Return the response headers of a rejection."""
     headers = [
         ('x-request-id', request),
         ('x-verdict', rejection.verdict.value),
@@ -87,12 +100,12 @@
 
 
 def get_status(rejection):
-    """Give the HTTP status of a rejection."""
+    """Return the HTTP status of a rejection."""
     return rejection.status or REASONS[rejection.reason].status
 
 
 def make_completion(request, model, text, end):
-    """Give the body of a whole answer."""
+    """Return the body of a complete answer."""
     body = {
         'id': request,
         'object': 'text_completion',
@@ -104,7 +117,7 @@
 
 
 def make_usage(end):
-    """Give the usage part of an answer."""
+    """Return the token counts of an answer."""
     return {
         'prompt_tokens': end.prompt_tokens,
         'completion_tokens': end.output_tokens,
@@ -113,53 +126,59 @@
     }
 
 
-class Archive:
-    """The answers of requests that must not be repeated, for late retries.
+class AnswerCache:
+    """Answers of non-repeatable requests, stored for retries.
+
+    An entry is created when this box wins the key.  Retries that arrive
+    while the request runs wait for its answer.  When the stored bodies exceed
+    the limit, the oldest answers are evicted and their keys are marked as
+    spent: further retries are rejected as requests that may have run.
 
-    An entry begins when a box wins a key; retries that come while it runs
-    wait for its answer.  The oldest answers go when the bytes are used up:
-    their retries then hear that it may have run.
+    Parameters
+    ----------
+    max_bytes : int
+        Limit on the total size of the stored bodies in bytes.
     """
 
-    def __init__(self, most=KEPT_BYTES):
-        self._most = most
+    def __init__(self, max_bytes=MAX_STORED_BYTES):
+        self._max_bytes = max_bytes
         self._bytes = 0
-        self._rows = collections.OrderedDict()
+        self._futures = collections.OrderedDict()
         self._spent = collections.OrderedDict()
 
     def begin(self, key):
-        """Note that the request with this key is running."""
-        self._rows[key] = asyncio.get_running_loop().create_future()
+        """Record that the request with this key is running."""
+        self._futures[key] = asyncio.get_running_loop().create_future()
 
-    def finish(self, key, kept):
-        """Keep the final answer."""
-        future = self._rows.get(key)
+    def finish(self, key, stored):
+        """Store the final answer and evict old ones beyond the limit."""
+        future = self._futures.get(key)
         if future is None or future.done():
             return
-        future.set_result(kept)
-        self._bytes += len(kept.body)
-        while self._bytes > self._most:
-            self._drop_oldest()
+        future.set_result(stored)
+        self._bytes += len(stored.body)
+        while self._bytes > self._max_bytes:
+            self._evict_oldest()
 
     def find(self, key):
-        """Give the future of the answer, or None."""
-        return self._rows.get(key)
+        """Return the future of the answer, or None."""
+        return self._futures.get(key)
 
     def spend(self, key):
-        """Make sure that a key never runs here from now on."""
+        """Mark a key as spent, so that it is no longer run on this box."""
         self._spent[key] = True
         while len(self._spent) > 65536:
             self._spent.popitem(last=False)
 
     def is_spent(self, key):
-        """Tell whether a key must not run here."""
+        """Return whether a key must not be run on this box."""
         return key in self._spent
 
-    def _drop_oldest(self):
-        for key, future in self._rows.items():
+    def _evict_oldest(self):
+        for key, future in self._futures.items():
             if future.done():
                 self._bytes -= len(future.result().body)
                 self.spend(key)
-                del self._rows[key]
+                del self._futures[key]
                 return
         self._bytes = 0
--- a/landingspool/decisions/configuration.py
+++ b/landingspool/decisions/configuration.py
@@ -130,7 +130,7 @@
         problems += check_row(row)
     names = [row.workspace for row in publish.rows] + list(publish.removed)
     if len(set(names)) != len(names):
-        text = 'a workspace occurs more than once'
+        text = 'a workspace is named twice'
         problems.append(records.Problem('-', INVALID, text))
     if len(publish.bases) != len(names):
         text = 'expected one base revision for each row'
