--- a/landingspool/ledger/__init__.py
+++ b/landingspool/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""The log and live list of the product's own interface: clients, followers."""
+"""Clients and followers of the platform's log and its list of live boxes."""
--- a/landingspool/ledger/claimer.py
+++ b/landingspool/ledger/claimer.py
@@ -1,8 +1,9 @@
-"""Claims keys in the log before work that must not be repeated.
+"""Claims idempotency keys in the log before requests that must run once.
 
-It owns the ledger of this box.  Claims are batched into one record, since
-the log takes few appends; a claim is won only when it was read back as the
-first of its key, whatever became of the append's answer.
+The claimer owns the ledger of this box.  Claims are batched into one record,
+because the log accepts few appends a second.  A claim is won only when it has
+been read back as the first one of its key; the response to the append does
+not count.
 """
 
 import asyncio
@@ -14,16 +15,17 @@
 from landingspool.ledger import outcomes
 from landingspool import timeouts
 
-SETTLE_S = 2.5
+SETTLE_TIMEOUT_S = 2.5
 POLL_S = 0.05
 IDLE_POLL_S = 1.0
-APPENDS_A_SECOND = 80
+# Appends a second of all boxes together.
+APPENDS_PER_S = 80
 DOWN_RETRY_AFTER_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Won:
-    """This box may run the request, once."""
+    """This box may execute the request once."""
 
     claim: str
 
@@ -37,31 +39,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unsettled:
-    """It could not be settled in time; this box will not run it."""
+    """The outcome is unknown; this box will not execute the request."""
 
     reason: str
 
 
 class Pending(typing.NamedTuple):
-    """A claim that waits for its outcome."""
+    """A claim whose outcome is not known yet."""
 
     claim: claims.Claim
     future: asyncio.Future
 
 
 class Claimer:
-    """Batches, appends, reads back and settles claims.
+    """Appends claims in batches, reads them back and settles them.
 
     Parameters
     ----------
     log : log.Log
     box : str
-        This box with its incarnation.
+        Name of this box with its incarnation.
     window : float
-        Seconds for which a key may be claimed.
+        Time during which a key may be claimed, in seconds.
     recorder : events.Recorder
     count_boxes : callable
-        Gives the number of boxes that share the log's append rate.
+        Returns the number of boxes that share the log's append rate.
     """
 
     def __init__(self, log, box, window, recorder, count_boxes):
@@ -71,11 +73,11 @@
         self._count_boxes = count_boxes
         self.ledger = claims.Ledger(window)
         self.current = False
-        self._numbers = itertools.count(1)
-        self._queue = []
+        self._claim_numbers = itertools.count(1)
+        self._queued_claims = []
         self._waiting = {}
-        self._releases = []
-        self._work = asyncio.Event()
+        self._queued_releases = []
+        self._has_work = asyncio.Event()
 
     async def claim(self, key, minted):
         """Claim a key.
@@ -84,67 +86,74 @@
         ----------
         key : str
         minted : float
-            The time inside the caller's key, wall-clock seconds.
+            The time contained in the caller's key, in wall-clock seconds.
 
         Returns
         -------
         Won, Held or Unsettled
         """
         if not self.current:
-            return Unsettled('the log was not read yet')
+            return Unsettled('the log has not been read yet')
         holder = self.ledger.find(key)
         if holder is not None:
             return Held(holder)
-        number = next(self._numbers)
+        number = next(self._claim_numbers)
         claim = claims.Claim(key, f'{self._box}.{number}', self._box, minted)
         future = asyncio.get_running_loop().create_future()
-        self._queue.append(Pending(claim, future))
+        self._queued_claims.append(Pending(claim, future))
         self._waiting[claim.claim] = future
-        self._work.set()
+        self._has_work.set()
         try:
-            async with timeouts.Timeout(SETTLE_S):
+            async with timeouts.Timeout(SETTLE_TIMEOUT_S):
                 return await future
         except TimeoutError:
-            self._give_up(claim)
-            return Unsettled('the log did not settle the claim in time')
+            self._abandon(claim)
+            return Unsettled(
+                'the claim was not read back from the log in time'
+            )
 
     async def run(self):
         """Append batches and read the stream until cancelled."""
         await asyncio.gather(self._append_all(), self._read_all())
 
-    def _give_up(self, claim):
-        # From here on this box never runs it.  If the claim did land, it
-        # is released, so that a retry elsewhere does not find it spent.
+    def _abandon(self, claim):
+        # This box never executes the request after this.  If the claim is
+        # in the log, it is released, so that a retry through another box
+        # does not find the key spent.
         self._waiting.pop(claim.claim, None)
-        self._queue = [p for p in self._queue if p.claim != claim]
-        self._releases.append(claim._replace(action=claims.RELEASE))
-        self._work.set()
+        self._queued_claims = [
+            pending
+            for pending in self._queued_claims
+            if pending.claim != claim
+        ]
+        self._queued_releases.append(claim._replace(action=claims.RELEASE))
+        self._has_work.set()
 
     async def _append_all(self):
         while True:
-            await self._work.wait()
-            self._work.clear()
-            batch, self._queue = self._queue, []
-            releases, self._releases = self._releases, []
+            await self._has_work.wait()
+            self._has_work.clear()
+            batch, self._queued_claims = self._queued_claims, []
+            releases, self._queued_releases = self._queued_releases, []
             rows = [pending.claim for pending in batch] + releases
             if rows:
                 await self._append(batch, releases, rows)
-            await asyncio.sleep(self._count_boxes() / APPENDS_A_SECOND)
+            await asyncio.sleep(self._count_boxes() / APPENDS_PER_S)
 
     async def _append(self, batch, releases, rows):
         data = claims.encode_batch(rows)
         reply = await self._log.append(claims.STREAM, data)
         if isinstance(reply, outcomes.Refused):
-            self._releases += releases
+            self._queued_releases += releases
             for pending in batch:
                 self._settle(pending.claim.claim, Unsettled(reply.reason))
             if releases:
                 asyncio.get_running_loop().call_later(
-                    DOWN_RETRY_AFTER_S, self._work.set
+                    DOWN_RETRY_AFTER_S, self._has_work.set
                 )
             return
         if isinstance(reply, outcomes.Lost):
-            self._releases += releases
+            self._queued_releases += releases
         await self._read_once()
 
     async def _read_all(self):
@@ -154,7 +163,7 @@
             await asyncio.sleep(POLL_S if busy else IDLE_POLL_S)
 
     async def _read_once(self):
-        """Read all that is new; returns whether the log answered."""
+        """Read all new records; return whether the log responded."""
         while True:
             page = await self._log.read(claims.STREAM, self.ledger.offset)
             if isinstance(page, outcomes.Unavailable):
@@ -182,6 +191,6 @@
         future = self._waiting.pop(claim, None)
         if future is None or future.done():
             return
-        kind = type(outcome).__name__
-        self._recorder.record('claimed', claim=claim, outcome=kind)
+        name = type(outcome).__name__
+        self._recorder.record('claimed', claim=claim, outcome=name)
         future.set_result(outcome)
--- a/landingspool/ledger/follower.py
+++ b/landingspool/ledger/follower.py
@@ -1,8 +1,9 @@
 """Follows the configuration in the log and keeps the table current.
 
-Two boxes a domain read the log; the others ask these, so a domain that is
-cut from the platform but not from its neighbours stays current, and the
-log is read by few.  The table only moves forward in offset.
+In each domain two boxes read the log, and the others fetch the table from
+them, which limits the load on the log.  A domain that can't reach the platform
+but can reach other domains fetches the table from these and stays current.
+The offset of the table only increases.
 """
 
 import asyncio
@@ -12,11 +13,13 @@
 from landingspool.decisions import ownership
 from landingspool.ledger import outcomes
 
+# Boxes of a domain that read the log.
 READERS = 2
 POLL_S = 0.3
 DOWN_POLL_S = 1.0
-SNAPSHOT_EVERY = 500
-RESULTS_KEPT = 1024
+# Offsets between two snapshots.
+SNAPSHOT_INTERVAL = 500
+MAX_RESULTS = 1024
 
 
 class Follower:
@@ -26,7 +29,7 @@
     ----------
     log : log.Log
     core : core.Core
-        Told of each newer table.
+        Its node receives each newer table.
     """
 
     def __init__(self, log, core):
@@ -36,7 +39,7 @@
         self.results = {}
         self.up = False
         self._changed = asyncio.Event()
-        self._asked = 0
+        self._fetch_count = 0
 
     async def run(self):
         """Follow until cancelled."""
@@ -52,7 +55,7 @@
             await asyncio.sleep(DOWN_POLL_S if down else POLL_S)
 
     async def read_once(self):
-        """Read one page of the log and fold it; returns the page."""
+        """Read one page of the log, fold it and return the page."""
         stream = configuration.STREAM
         page = await self._log.read(stream, self.table.offset)
         if isinstance(page, outcomes.Unavailable):
@@ -66,7 +69,15 @@
         return page
 
     async def wait_result(self, edit, timeout):
-        """Wait until an edit was folded; returns its Result or None."""
+        """Wait until an edit has been folded; return its Result or None.
+
+        Parameters
+        ----------
+        edit : str
+            Identifier of the edit.
+        timeout : float
+            Longest wait, in seconds.
+        """
         try:
             async with asyncio.timeout(timeout):
                 while edit not in self.results:
@@ -82,7 +93,7 @@
         return self.results[edit]
 
     def answer(self, sender, message):
-        """Answer a peer's Fetch with the table as one snapshot."""
+        """Answer a peer's Fetch with a snapshot if the table is newer."""
         if message.after >= self.table.offset:
             return
         snapshot = configuration.take_snapshot(self.table)
@@ -92,7 +103,7 @@
         self._core.links.send(sender, reply)
 
     def take(self, message):
-        """Take in a peer's table, if it is newer than ours."""
+        """Apply a peer's table if it is newer than the table of this box."""
         for _, data in message.entries:
             snapshot = configuration.read_snapshot(data)
             if snapshot is None or snapshot.applied <= self.table.offset:
@@ -101,8 +112,8 @@
             for edit, outcome in snapshot.edits:
                 result = configuration.Result(table.offset, edit, outcome)
                 self.results.setdefault(edit, result)
-            self._put(table)
-            self._trim()
+            self._set_table(table)
+            self._trim_results()
 
     def _is_reader(self):
         node = self._core.node
@@ -112,22 +123,24 @@
     def _ask_peers(self):
         node = self._core.node
         ranked = ownership.rank('log', node.roster.view(node.domain))
-        own = [box for box in ranked[:READERS] if box != node.box]
-        far = [
+        domain_readers = [box for box in ranked[:READERS] if box != node.box]
+        remote_boxes = [
             box
-            for d in node.roster.list_domains()
-            for box in node.roster.view(d)[:2]
+            for domain in node.roster.list_domains()
+            for box in node.roster.view(domain)[:2]
+        ]
+        peers = [
+            box for box in domain_readers or remote_boxes if box != node.box
         ]
-        peers = [box for box in own or far if box != node.box]
         if not peers:
             return
-        self._asked += 1
-        ask = messages.Fetch(configuration.STREAM, self.table.offset)
-        self._core.links.send(peers[self._asked % len(peers)], ask)
+        self._fetch_count += 1
+        fetch = messages.Fetch(configuration.STREAM, self.table.offset)
+        self._core.links.send(peers[self._fetch_count % len(peers)], fetch)
 
     async def _restore(self, page):
-        # The log no longer holds the records after our offset.  Only a
-        # snapshot that leaves no gap may put a table in force.
+        # The log has dropped the records right after our offset.  A table
+        # takes effect only if a snapshot and the records leave no gap.
         entries = list(page.entries)
         while entries and entries[-1][0] + 1 < page.next:
             more = await self._log.read(configuration.STREAM, entries[-1][0])
@@ -141,19 +154,19 @@
             return
         for result in results:
             self._record_result(result)
-        self._put(table)
+        self._set_table(table)
 
     def _fold(self, entries):
         table = self.table
         for offset, data in entries:
             table, result = configuration.fold(table, offset, data)
             self._record_result(result)
-        self._put(table)
+        self._set_table(table)
 
     def _record_result(self, result):
         if result.edit and result.outcome != configuration.DUPLICATE:
             self.results[result.edit] = result
-            self._trim()
+            self._trim_results()
         if result.outcome == configuration.ACCEPTED:
             self._core.recorder.record(
                 'published', offset=result.offset, edit=result.edit
@@ -164,11 +177,11 @@
                 'conflicted', edit=result.edit, rows=names
             )
 
-    def _trim(self):
-        while len(self.results) > RESULTS_KEPT:
+    def _trim_results(self):
+        while len(self.results) > MAX_RESULTS:
             self.results.pop(next(iter(self.results)))
 
-    def _put(self, table):
+    def _set_table(self, table):
         if table.offset <= self.table.offset:
             return
         before = self.table.offset
@@ -177,18 +190,20 @@
         self._core.metrics.offset.set(table.offset)
         self._changed.set()
         self._changed = asyncio.Event()
-        passed = table.offset // SNAPSHOT_EVERY > before // SNAPSHOT_EVERY
-        if passed and before >= 0 and self._is_reader():
+        is_due = (
+            table.offset // SNAPSHOT_INTERVAL > before // SNAPSHOT_INTERVAL
+        )
+        if is_due and before >= 0 and self._is_reader():
             self._core.spawn(self._append_snapshot(table))
 
     async def _append_snapshot(self, table):
-        # Every reader may do this; a second copy changes nothing.
+        # Every reader may append a snapshot; a duplicate has no effect.
         snapshot = configuration.take_snapshot(table)
         data = configuration.encode_snapshot(snapshot)
         reply = await self._log.append(configuration.STREAM, data)
-        kind = type(reply).__name__
+        name = type(reply).__name__
         self._core.recorder.record(
-            'snapshot', offset=table.offset, outcome=kind
+            'snapshot', offset=table.offset, outcome=name
         )
 
     def _record_state(self, up, reason):
--- a/landingspool/ledger/live.py
+++ b/landingspool/ledger/live.py
@@ -1,4 +1,7 @@
-"""Client of the platform's lagging list of live and leaving boxes."""
+"""Client of the platform's list of live and leaving members.
+
+Members are boxes, targets and stores.  The list lags behind their state.
+"""
 
 import msgspec
 
@@ -10,7 +13,7 @@
 
 
 class Row(msgspec.Struct):
-    """One member as the platform gives it; what it adds is ignored."""
+    """One member as the platform lists it; unknown fields are ignored."""
 
     name: str
     kind: str
@@ -25,13 +28,19 @@
 
 
 class Listing(msgspec.Struct):
-    """The answer to a read of the list."""
+    """Response to a read of the list."""
 
     members: list[Row]
 
 
 class Live:
-    """Reads the live list."""
+    """Reads the live list.
+
+    Parameters
+    ----------
+    client : httpclient.Client
+    address : http.Address
+    """
 
     def __init__(self, client, address):
         self._client = client
@@ -52,11 +61,11 @@
         except http.Unreachable as error:
             return outcomes.Unavailable(str(error))
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
-            return outcomes.Unavailable(f'bad answer: {error}')
+            return outcomes.Unavailable(f'malformed response: {error}')
         return [make_member(row) for row in listing.members]
 
 
 def make_member(row):
-    """Give the record of a row of the list."""
+    """Return the records.Member of a row of the list."""
     values = msgspec.structs.asdict(row)
     return records.Member(**values)
--- a/landingspool/ledger/log.py
+++ b/landingspool/ledger/log.py
@@ -7,8 +7,8 @@
 
 APPEND_TIMEOUT_S = 1.0
 READ_TIMEOUT_S = 2.0
-PAGE = 500
-MALFORMED = (ValueError, KeyError, TypeError)
+PAGE_RECORDS = 500
+DECODE_ERRORS = (ValueError, KeyError, TypeError)
 
 
 class Log:
@@ -46,20 +46,20 @@
             if not error.sent:
                 return outcomes.Refused('unreachable')
             return outcomes.Lost(str(error))
-        except MALFORMED as error:
-            return outcomes.Lost(f'bad answer: {error!r}')
+        except DECODE_ERRORS as error:
+            return outcomes.Lost(f'malformed response: {error!r}')
         if reply.status >= 500:
             return outcomes.Lost(f'status {reply.status}')
         return outcomes.Refused(f'status {reply.status}')
 
     async def read(self, stream, after):
-        """Read the records after an offset.
+        """Read a page of the records after an offset.
 
         Returns
         -------
         outcomes.Page or outcomes.Unavailable
         """
-        path = f'/read?stream={stream}&after={after}&most={PAGE}'
+        path = f'/read?stream={stream}&after={after}&most={PAGE_RECORDS}'
         try:
             reply = await self._client.fetch(
                 self._address, 'GET', path, timeout=READ_TIMEOUT_S
@@ -69,12 +69,12 @@
             return decode_page(reply.json())
         except http.Unreachable as error:
             return outcomes.Unavailable(str(error))
-        except MALFORMED as error:
-            return outcomes.Unavailable(f'bad answer: {error!r}')
+        except DECODE_ERRORS as error:
+            return outcomes.Unavailable(f'malformed response: {error!r}')
 
 
 def decode_page(value):
-    """Decode the answer to a read.
+    """Decode the response to a read.
 
     >>> decode_page({'first': 0, 'next': 1, 'start': 0, 'records': ['YQ==']})
     Page(first=0, next=1, entries=((0, b'a'),))
--- a/landingspool/ledger/outcomes.py
+++ b/landingspool/ledger/outcomes.py
@@ -1,4 +1,4 @@
-"""What can become of a call to the platform, as tagged outcomes."""
+"""Outcomes of a call to the platform, one class each."""
 
 import dataclasses
 
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The record is surely not in the log."""
+    """The record is confirmed not to be in the log."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Lost:
-    """No answer came: the record may be in the log, now or later."""
+    """No valid response: the record may be in the log, now or later."""
 
     reason: str
 
@@ -28,8 +28,14 @@
 class Page:
     """Records of a stream in offset order.
 
-    `first` is the first offset that the log still holds, `next` the offset
-    that the next append will get, `entries` pairs of offset and bytes.
+    Attributes
+    ----------
+    first : int
+        First offset that the log still holds.
+    next : int
+        Offset of the next append.
+    entries : tuple
+        Pairs of an offset and the record's bytes.
     """
 
     first: int
--- a/landingspool/stores/client.py
+++ b/landingspool/stores/client.py
@@ -1,4 +1,4 @@
-"""Client of store boxes: their listing, and frees."""
+"""Client of store boxes: lists and frees the blocks that they hold."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class Meta(msgspec.Struct):
-    """What was written with a block."""
+    """Metadata written with a block."""
 
     key: str
     pool: str
@@ -33,7 +33,7 @@
 
 
 class Listing(msgspec.Struct):
-    """The answer to a read of the listing."""
+    """Response to a read of the listing."""
 
     writes: list[Row]
     room: int
@@ -41,7 +41,17 @@
 
 
 class Contents(typing.NamedTuple):
-    """What a store holds, its room and the bytes over its link."""
+    """Contents of a store.
+
+    Attributes
+    ----------
+    rows : list
+        Pairs of a pool's name and a kv_offload.Listed.
+    room : int
+        Total capacity for blocks, in bytes.
+    link_bytes : int
+        Bytes transferred over the store's link.
+    """
 
     rows: list
     room: int
@@ -49,12 +59,12 @@
 
 
 async def fetch_listing(client, member):
-    """Read what a store holds.
+    """Read the contents of a store.
 
     Returns
     -------
     Contents or None
-        Rows are pairs of a pool's name and a kv_offload.Listed.
+        None if the store did not respond or its response is malformed.
     """
     address = http.Address(member.host, member.port)
     try:
@@ -67,7 +77,7 @@
 
 
 def make_row(store, row):
-    """Give the pool and the record of one write."""
+    """Return the pool and the kv_offload.Listed of one write."""
     block = records.Block(
         row.meta.key, store, row.write, row.length, row.checksum
     )
@@ -83,7 +93,7 @@
 
 
 async def free_write(client, member, write):
-    """Free a write; returns whether the store took it."""
+    """Free a write; return whether the store confirmed it."""
     address = http.Address(member.host, member.port)
     try:
         reply = await client.fetch(
@@ -95,7 +105,13 @@
 
 
 async def fetch_link_use(client, address):
-    """Give the bytes that went over a store's link, or 0."""
+    """Return the bytes transferred over a store's link, or 0.
+
+    Returns
+    -------
+    int
+        0 if the store is unreachable.
+    """
     try:
         reply = await client.fetch(address, 'GET', '/list', timeout=TIMEOUT_S)
     except http.Unreachable:
--- a/landingspool/targets/client.py
+++ b/landingspool/targets/client.py
@@ -1,7 +1,8 @@
 """Client of model engines and plain services.
 
-It says what happened in the protocol's own terms and decides nothing: a
-stream that broke, a refusal before the start, a receipt for a read.
+It reports what happened in terms of the protocol, such as an interrupted
+stream, a refusal before the start or a receipt for a read.  It makes no
+decisions.
 """
 
 import dataclasses
@@ -17,29 +18,29 @@
 
 LOAD_TIMEOUT_S = 1.0
 ORDER_TIMEOUT_S = 1.0
-MOVE_TIMEOUT_S = 20.0
-# A read that takes longer would have been computed meanwhile.
+EXPORT_TIMEOUT_S = 20.0
+# A block whose read takes longer could have been computed in that time.
 IMPORT_TIMEOUT_S = 2.0
 STALL_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
 class NotStarted:
-    """The target says that the request did not start."""
+    """The target states that the request was not started."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Cut:
-    """The stream ended before its end mark."""
+    """No complete stream was received; the request may have run."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Token:
-    """One token with its place in the answer."""
+    """One token with its position in the answer."""
 
     index: int
     text: str
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class End:
-    """The end mark: the answer is whole."""
+    """The end mark: the answer is complete."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -56,7 +57,7 @@
 
 
 class Job(typing.NamedTuple):
-    """What a target needs of a request."""
+    """The fields of a request that are sent to a target."""
 
     request: str
     salt: str
@@ -68,8 +69,8 @@
     use: tuple = ()
 
 
-class Wire(msgspec.Struct):
-    """One event of a stream as it stands on the wire."""
+class StreamEvent(msgspec.Struct):
+    """One encoded event of a stream."""
 
     index: int | None = None
     text: str = ''
@@ -80,8 +81,8 @@
     version: str = ''
 
 
-class Load(msgspec.Struct):
-    """A load report on the wire."""
+class LoadReport(msgspec.Struct):
+    """An encoded load report."""
 
     incarnation: str
     age: float
@@ -96,7 +97,7 @@
 
 
 class CacheEvent(msgspec.Struct):
-    """A cache event on the wire."""
+    """An encoded cache event."""
 
     number: int
     kind: str
@@ -104,7 +105,7 @@
 
 
 class CacheEvents(msgspec.Struct):
-    """The answer to a read of cache events."""
+    """Response to a read of cache events."""
 
     events: list[CacheEvent]
 
@@ -117,8 +118,9 @@
     client : httpclient.Client
     address : http.Address
     stall_s : float or None
-        Seconds of silence after which the stream counts as cut; None for
-        a service whose answers may take any time and can't be resumed.
+        Seconds without data after which the stream counts as interrupted.
+        None for a service whose answers may take any time and can't be
+        resumed.
     """
 
     def __init__(self, client, address, stall_s=STALL_S):
@@ -128,7 +130,7 @@
     async def connect(self):
         """Open a new connection; nothing is sent.
 
-        A kept connection may be half closed, and a request written to it
+        A reused connection may be half closed, and a request written to it
         would have to count as one that may have run.
 
         Raises
@@ -138,16 +140,16 @@
         await self._call.connect(fresh=True)
 
     async def start(self, job):
-        """Send the request.  Returns NotStarted, Cut or None."""
+        """Send the request; return NotStarted, Cut or None on success."""
         return await self._open('/v1/completions', job._asdict())
 
     async def resume(self, request, after):
-        """Take up the stream of a run after its first `after` tokens."""
+        """Resume the stream of a request after its first `after` tokens."""
         value = {'request': request, 'after': after}
         return await self._open('/resume', value)
 
     async def read(self):
-        """Yield Token, then one End or Cut."""
+        """Yield each Token, then one End or Cut."""
         texts = self._call.read_events()
         while True:
             try:
@@ -164,7 +166,7 @@
                 return
 
     def close(self):
-        """Drop the connection."""
+        """Close the connection."""
         self._call.close()
 
     async def _open(self, path, value):
@@ -190,25 +192,25 @@
     True
     """
     try:
-        wire = msgspec.json.decode(text, type=Wire)
+        event = msgspec.json.decode(text, type=StreamEvent)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         return Cut(f'bad event: {error}')
-    if wire.index is not None:
-        return Token(wire.index, wire.text)
-    if not wire.end:
+    if event.index is not None:
+        return Token(event.index, event.text)
+    if not event.end:
         return Cut('bad event: neither a token nor an end')
     return End(
-        wire.prompt_tokens,
-        wire.cached_tokens,
-        wire.output_tokens,
-        wire.version,
+        event.prompt_tokens,
+        event.cached_tokens,
+        event.output_tokens,
+        event.version,
     )
 
 
 def decode_refusal(status, body):
-    """Decode an answer that is no stream.
+    """Decode a response that is not a stream.
 
-    Only the explicit word that it did not start counts as that.
+    The request counts as not started only if the response states so.
 
     >>> decode_refusal(503, b'{"started": false, "reason": "full"}')
     NotStarted(reason='full')
@@ -225,20 +227,20 @@
 
 
 async def fetch_load(client, member):
-    """Read the load report of a target; None where there is none."""
+    """Read the load report of a target; return None if that failed."""
     address = http.Address(member.host, member.port)
     try:
         reply = await client.fetch(
             address, 'GET', '/load', timeout=LOAD_TIMEOUT_S
         )
-        load = msgspec.json.decode(reply.body, type=Load)
+        load = msgspec.json.decode(reply.body, type=LoadReport)
     except (http.Unreachable, msgspec.DecodeError, msgspec.ValidationError):
         return None
     return records.Report(member.name, **msgspec.structs.asdict(load))
 
 
 async def fetch_events(client, member, after):
-    """Read the cache events after a number; None where that failed."""
+    """Read the cache events after a number; return None if that failed."""
     address = http.Address(member.host, member.port)
     path = f'/events?after={after}'
     try:
@@ -261,13 +263,14 @@
     member : records.Member
     order : rollout.Order
     may_send : callable
-        Looked at right before the first byte: this process may have been
-        frozen since the order was planned.
+        Returns whether the order may still be sent.  It is called right
+        before the first byte, since this process may have stalled after the
+        order was planned.
 
     Returns
     -------
     int
-        The status; 0 for no answer, or where it was not sent.
+        The HTTP status; 0 if there was no response or nothing was sent.
     """
     call = client.open(http.Address(member.host, member.port))
     value = {'epoch': order.epoch, 'version': order.version}
@@ -285,7 +288,7 @@
 
 
 async def cancel(client, address, request):
-    """Cancel a run; what becomes of it is not waited for long."""
+    """Cancel a request; a target that does not respond is ignored."""
     try:
         await client.fetch(
             address, 'POST', '/cancel', {'request': request}, timeout=1.0
@@ -295,7 +298,7 @@
 
 
 async def import_block(client, address, store, block, name):
-    """Let a target read a block.
+    """Let a target read a block from a store.
 
     Parameters
     ----------
@@ -304,9 +307,9 @@
     store : records.Member
     block : records.Block
     name : str
-        Names this very read, for its use by a request: two reads of one
-        block must not be taken for each other, since what the second got
-        may be another thing than what was checked for the first.
+        Identifier of this read, by which a request uses it.  Two reads of
+        one block need different names, since the second may get other data
+        than the data that was checked for the first.
 
     Returns
     -------
@@ -334,7 +337,7 @@
 
 
 async def export_block(client, member, store, export, version, meta):
-    """Let a target write a piece to a store; returns a Block or None."""
+    """Let a target write a piece to a store; return a Block or None."""
     address = http.Address(member.host, member.port)
     value = {
         'host': store.host,
@@ -346,7 +349,7 @@
     }
     try:
         reply = await client.fetch(
-            address, 'POST', '/kv/export', value, timeout=MOVE_TIMEOUT_S
+            address, 'POST', '/kv/export', value, timeout=EXPORT_TIMEOUT_S
         )
         if reply.status != 200:
             return None
