--- a/bench/report.py
+++ b/bench/report.py
@@ -38,7 +38,9 @@
     for name, member in running.members.items():
         if member['kind'] == 'store':
             address = running.processes[name].address
-            links[name] = await stores.fetch_link_use(running.client, address)
+            links[name] = await stores.fetch_link_bytes(
+                running.client, address
+            )
     return links
 
 
--- a/landingspool/box.py
+++ b/landingspool/box.py
@@ -113,7 +113,7 @@
         platform = self.settings.platform
         address = settings_module.make_address(platform.log)
         self.log = log_module.Log(self.client, address)
-        self.live = live.Live(
+        self.live = live.LiveList(
             self.client, settings_module.make_address(platform.live)
         )
         self.follower = follower.Follower(self.log, self.core)
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -147,8 +147,10 @@
             # A transfer takes time of its own; the place was ours for all
             # of it, so the age of the decision starts again after it.
             came += self.core.timer.now() - began
-        stall_s = None if self._is_plain() else targets.STALL_S
-        stream = targets.Stream(self.core.client, self._address, stall_s)
+        idle_timeout_s = None if self._is_plain() else targets.IDLE_TIMEOUT_S
+        stream = targets.Stream(
+            self.core.client, self._address, idle_timeout_s
+        )
         try:
             await stream.connect()
         except http.Unreachable as error:
@@ -214,7 +216,7 @@
         async for event in stream.read():
             if isinstance(event, targets.End):
                 return self._take_end(event)
-            if isinstance(event, targets.Cut):
+            if isinstance(event, targets.Interrupted):
                 self._step(Signal.CUT)
                 return Part('cut', None, event.reason)
             if event.index != self.life.tokens:
--- a/landingspool/ledger/live.py
+++ b/landingspool/ledger/live.py
@@ -33,7 +33,7 @@
     members: list[Row]
 
 
-class Live:
+class LiveList:
     """Reads the live list.
 
     Parameters
--- a/landingspool/stores/client.py
+++ b/landingspool/stores/client.py
@@ -104,7 +104,7 @@
     return reply.status == 200
 
 
-async def fetch_link_use(client, address):
+async def fetch_link_bytes(client, address):
     """Return the bytes transferred over a store's link, or 0.
 
     Returns
--- a/landingspool/targets/client.py
+++ b/landingspool/targets/client.py
@@ -21,7 +21,7 @@
 EXPORT_TIMEOUT_S = 20.0
 # A block whose read takes longer could have been computed in that time.
 IMPORT_TIMEOUT_S = 2.0
-STALL_S = 4.0
+IDLE_TIMEOUT_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Cut:
+class Interrupted:
     """No complete stream was received; the request may have run."""
 
     reason: str
@@ -117,14 +117,14 @@
     ----------
     client : httpclient.Client
     address : http.Address
-    stall_s : float or None
+    idle_timeout_s : float or None
         Seconds without data after which the stream counts as interrupted.
         None for a service whose answers may take any time and can't be
         resumed.
     """
 
-    def __init__(self, client, address, stall_s=STALL_S):
-        self._stall_s = stall_s
+    def __init__(self, client, address, idle_timeout_s=IDLE_TIMEOUT_S):
+        self._idle_timeout_s = idle_timeout_s
         self._call = client.open(address)
 
     async def connect(self):
@@ -140,7 +140,7 @@
         await self._call.connect(fresh=True)
 
     async def start(self, job):
-        """Send the request; return NotStarted, Cut or None on success."""
+        """Send the request; return NotStarted, Interrupted or None if sent."""
         return await self._open('/v1/completions', job._asdict())
 
     async def resume(self, request, after):
@@ -149,18 +149,18 @@
         return await self._open('/resume', value)
 
     async def read(self):
-        """Yield each Token, then one End or Cut."""
+        """Yield each Token, then one End or Interrupted."""
         texts = self._call.read_events()
         while True:
             try:
-                async with timeouts.Timeout(self._stall_s):
+                async with timeouts.Timeout(self._idle_timeout_s):
                     event = decode_event(await anext(texts))
             except StopAsyncIteration:
-                event = Cut('no end mark')
+                event = Interrupted('no end mark')
             except TimeoutError:
-                event = Cut('stalled')
+                event = Interrupted('stalled')
             except http.Unreachable as error:
-                event = Cut(str(error))
+                event = Interrupted(str(error))
             yield event
             if not isinstance(event, Token):
                 return
@@ -171,15 +171,15 @@
 
     async def _open(self, path, value):
         try:
-            async with timeouts.Timeout(self._stall_s):
+            async with timeouts.Timeout(self._idle_timeout_s):
                 await self._call.send('POST', path, value)
                 if self._call.status == 200:
                     return None
                 body = b''.join([data async for data in self._call.read()])
         except TimeoutError:
-            return Cut('stalled')
+            return Interrupted('stalled')
         except http.Unreachable as error:
-            return Cut(str(error))
+            return Interrupted(str(error))
         return decode_refusal(self._call.status, body)
 
 
@@ -194,11 +194,11 @@
     try:
         event = msgspec.json.decode(text, type=StreamEvent)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        return Cut(f'bad event: {error}')
+        return Interrupted(f'bad event: {error}')
     if event.index is not None:
         return Token(event.index, event.text)
     if not event.end:
-        return Cut('bad event: neither a token nor an end')
+        return Interrupted('bad event: neither a token nor an end')
     return End(
         event.prompt_tokens,
         event.cached_tokens,
@@ -215,15 +215,15 @@
     >>> decode_refusal(503, b'{"started": false, "reason": "full"}')
     NotStarted(reason='full')
     >>> decode_refusal(500, b'oops')
-    Cut(reason='status 500')
+    Interrupted(reason='status 500')
     """
     try:
         value = json.loads(body)
     except ValueError:
-        return Cut(f'status {status}')
+        return Interrupted(f'status {status}')
     if isinstance(value, dict) and value.get('started') is False:
         return NotStarted(str(value.get('reason', status)))
-    return Cut(f'status {status}')
+    return Interrupted(f'status {status}')
 
 
 async def fetch_load(client, member):
--- a/tests/contracts/test_platform.py
+++ b/tests/contracts/test_platform.py
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize('name, body, expected', LISTS)
 def test_live_list(name, body, expected):
     def read(client, address):
-        return live.Live(client, address).read()
+        return live.LiveList(client, address).read()
 
     found = asyncio.run(peer.talk(peer.answer(200, body), read))
     assert matches(
--- a/tests/contracts/test_targets.py
+++ b/tests/contracts/test_targets.py
@@ -20,12 +20,12 @@
 
 STREAMS = (
     ('whole', peer.stream(TOKEN, END), COMPLETE),
-    ('no end mark', peer.stream(TOKEN), [COMPLETE[0], targets.Cut]),
-    ('cut', peer.open_stream(TOKEN), [COMPLETE[0], targets.Cut]),
-    ('cut in an event', peer.open_stream(TOKEN)[:-9], [targets.Cut]),
-    ('nonsense', peer.stream('oops'), [targets.Cut]),
-    ('neither', peer.stream('{"text": "a"}'), [targets.Cut]),
-    ('wrong type', peer.stream('{"index": "0"}'), [targets.Cut]),
+    ('no end mark', peer.stream(TOKEN), [COMPLETE[0], targets.Interrupted]),
+    ('cut', peer.open_stream(TOKEN), [COMPLETE[0], targets.Interrupted]),
+    ('cut in an event', peer.open_stream(TOKEN)[:-9], [targets.Interrupted]),
+    ('nonsense', peer.stream('oops'), [targets.Interrupted]),
+    ('neither', peer.stream('{"text": "a"}'), [targets.Interrupted]),
+    ('wrong type', peer.stream('{"index": "0"}'), [targets.Interrupted]),
 )
 
 STARTS = (
@@ -34,12 +34,12 @@
         peer.answer(503, '{"started": false, "reason": "full"}'),
         targets.NotStarted('full'),
     ),
-    ('error', peer.answer(500, '{}'), targets.Cut('status 500')),
-    ('started', peer.answer(503, '{"started": true}'), targets.Cut),
-    ('empty', peer.answer(503, ''), targets.Cut),
-    ('list', peer.answer(503, '[1]'), targets.Cut),
-    ('cut', b'', targets.Cut),
-    ('not HTTP', b'hello\r\n\r\n', targets.Cut),
+    ('error', peer.answer(500, '{}'), targets.Interrupted('status 500')),
+    ('started', peer.answer(503, '{"started": true}'), targets.Interrupted),
+    ('empty', peer.answer(503, ''), targets.Interrupted),
+    ('list', peer.answer(503, '[1]'), targets.Interrupted),
+    ('cut', b'', targets.Interrupted),
+    ('not HTTP', b'hello\r\n\r\n', targets.Interrupted),
 )
 
 LOAD = (
@@ -88,14 +88,14 @@
 
 def test_silent_stream_is_cut():
     async def read(client, address):
-        stream = targets.Stream(client, address, stall_s=0.05)
+        stream = targets.Stream(client, address, idle_timeout_s=0.05)
         await stream.connect()
         await stream.start(JOB)
         return [event async for event in stream.read()]
 
     reply = peer.open_stream(TOKEN)
     found = asyncio.run(peer.talk(reply, read, hang=True))
-    assert found[-1] == targets.Cut('stalled')
+    assert found[-1] == targets.Interrupted('stalled')
 
 
 def test_connect_to_nobody_sends_nothing():
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -100,7 +100,7 @@
 @hypothesis.given(strategies.text(max_size=60) | JSON.map(json.dumps))
 def test_any_event_of_a_target_is_read_or_cuts_the_stream(text):
     event = targets.decode_event(text)
-    assert isinstance(event, (targets.Token, targets.End, targets.Cut))
+    assert isinstance(event, (targets.Token, targets.End, targets.Interrupted))
 
 
 @FUZZ
