--- a/bench/many.py
+++ b/bench/many.py
@@ -156,13 +156,13 @@
         view.peers_by_domain = collections.Counter(peers_by_domain)
         view.peers_by_domain[domain] -= 1
         near = range(number % size.domains, size.boxes, size.domains)
-        view.watching.set_members(
+        view.watchers.set_members(
             str(number), [str(n) for n in near if n != number]
         )
         for place in range(size.engines):
             view.fleet.put(make_entry(place, size))
         boxes = [str(n) for n in range(size.boxes)]
-        view.bars.shares.set_members(str(number), boxes, -LISTED_S)
+        view.exclusions.shares.set_members(str(number), boxes, -LISTED_S)
         return view
 
     def run(self):
@@ -196,9 +196,9 @@
             str(box),
             view.domain,
             self._numbers[box],
-            peer_digests.hash_loads(view.loads.list_told()),
-            view.reach.list_told(),
-            limits=view.bars.limits.tell(now),
+            peer_digests.hash_loads(view.loads.list_reported()),
+            view.reachability.list_reported(),
+            limits=view.exclusions.limits.tell(now),
         )
         near, far = [], []
         for other in range(size.boxes):
@@ -217,13 +217,13 @@
         if now >= self._size.seconds or not self._size.dark:
             return
         for view in self._views:
-            for name in view.reach.list_due(now):
+            for name in view.reachability.list_due(now):
                 self._counts['probes'] += 1
                 address = view.fleet.entries[name].address
                 if self._is_dark(address, now):
                     self._at(now + TIMEOUT_S, self._fail, view, name)
                 else:
-                    view.reach.record_reached(name, now)
+                    view.reachability.record_reached(name, now)
         self._at(now + TIMEOUT_S + 0.01, self._look, number + 1)
 
     def _fail(self, now, view, name):
@@ -316,10 +316,10 @@
     def _hear_limit(self, now, asked, plan, sent):
         """Take in the limit that an answer names."""
         view = self._views[asked.box]
-        view.bars.limits.record_named(
+        view.exclusions.limits.record_named(
             plan.entry.name, self._size.limit_per_s, sent, now
         )
-        if view.bars.limits.is_urgent:
+        if view.exclusions.limits.is_urgent:
             self._tell_others(asked.box, now)
 
     def _send(self, now, arrives, asked, plan):
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -12,10 +12,10 @@
 NOTES = []
 
 
-def find_owner(running, model, domain):
+def get_owner(running, model, domain):
     """Give the box that schedules a model's pool in a domain."""
     names = [n for n, p in running.boxes.items() if p.domain == domain]
-    return ownership.find_owner(ownership.name_pool(model, domain), names)
+    return ownership.get_owner(ownership.name_pool(model, domain), names)
 
 
 async def kill_owner(running):
@@ -23,7 +23,7 @@
     await asyncio.sleep(BEFORE_S)
     domain = running.shape.domains[0]
     model = running.shape.engines[0][0]
-    owner = find_owner(running, model, domain)
+    owner = get_owner(running, model, domain)
     running.kill(owner)
     running.boxes.pop(owner)
     await record_recovery(running, 'killed', domain, model)
@@ -34,7 +34,7 @@
     await asyncio.sleep(BEFORE_S)
     domain = running.shape.domains[0]
     model = running.shape.engines[0][0]
-    owner = find_owner(running, model, domain)
+    owner = get_owner(running, model, domain)
     running.freeze(owner)
     ports = running.boxes.pop(owner)
     await record_recovery(running, 'frozen', domain, model)
--- a/landingspool/box.py
+++ b/landingspool/box.py
@@ -127,10 +127,10 @@
 
     def _build_servers(self, wall):
         settings = self.settings
-        self.serving = callers.Serving(
+        self.serving = callers.CallerServer(
             self.core, self.claims, settings.callers, wall
         )
-        self.operating = operators.Operating(
+        self.operating = operators.OperatorApi(
             self.core, self.follower, self.log, settings.operators, self.drain
         )
 
--- a/landingspool/boxes/datagrams.py
+++ b/landingspool/boxes/datagrams.py
@@ -14,8 +14,8 @@
 
 MESSAGE_TYPES = {
     'digest': peer_digests.Digest,
-    'ask': peer_digests.Ask,
-    'tell': peer_digests.Tell,
+    'ask': peer_digests.ProofQuery,
+    'tell': peer_digests.ProofReply,
 }
 MESSAGE_NAMES = {kind: name for name, kind in MESSAGE_TYPES.items()}
 # A larger datagram is fragmented on the way and therefore easily lost.
@@ -82,8 +82,8 @@
 def encode(message):
     """Encode a message.
 
-    >>> decode(encode(peer_digests.Ask('a', 1)))
-    Ask(box='a', number=1)
+    >>> decode(encode(peer_digests.ProofQuery('a', 1)))
+    ProofQuery(box='a', number=1)
     """
     return cbor2.dumps([MESSAGE_NAMES[type(message)], *message])
 
--- a/landingspool/callers/answers.py
+++ b/landingspool/callers/answers.py
@@ -113,7 +113,7 @@
     }
 
 
-class Archive:
+class AnswerCache:
     """The answers of requests that must not be repeated, for late retries.
 
     An entry begins when a box wins a key; retries that come while it runs
--- a/landingspool/callers/parsing.py
+++ b/landingspool/callers/parsing.py
@@ -91,7 +91,7 @@
     return Key(text, float(seconds), '')
 
 
-def read_demand(request, name, settings, plain_models):
+def parse_request(request, name, settings, plain_models):
     """Read a request.
 
     Parameters
@@ -179,7 +179,7 @@
     return seconds, None
 
 
-def name_claim(workspace, key):
+def make_claim_key(workspace, key):
     """Give the key of a claim: one workspace's never meets another's."""
     return identity.hash_key(f'{workspace}\0{key.text}')[:32]
 
--- a/landingspool/callers/server.py
+++ b/landingspool/callers/server.py
@@ -100,7 +100,7 @@
         }
 
 
-class Serving:
+class CallerServer:
     """Serves callers; shared by all requests of this box.
 
     Parameters
@@ -118,7 +118,7 @@
         self.claims = claims
         self.settings = settings
         self.budget = retries.Budget()
-        self.archive = answers.Archive()
+        self.archive = answers.AnswerCache()
         self.stopping = False
         self._numbers = itertools.count(1)
         self._recalls = {}
@@ -150,7 +150,7 @@
         name = f'{self.core.node.box}-{next(self._numbers)}'
         row, rejection = self._admit(request)
         if rejection is None:
-            demand, fault = parsing.read_demand(
+            demand, fault = parsing.parse_request(
                 request, name, self.settings, self.plain_models()
             )
             rejection = self._check(demand, fault, row)
@@ -270,7 +270,7 @@
         return answers.Kept(status, json.dumps(body).encode())
 
     async def _serve_keyed(self, demand, row, outlet, exchange):
-        key = parsing.name_claim(row.workspace, demand.key)
+        key = parsing.make_claim_key(row.workspace, demand.key)
         running = self.archive.find(key)
         if running is not None:
             await self._join(running, outlet, exchange)
@@ -406,13 +406,13 @@
 
 
 ROUTES = {
-    ('POST', '/v1/completions'): Serving.complete,
-    ('POST', '/v1/keys'): Serving.mint,
-    ('GET', '/healthz'): Serving.health,
+    ('POST', '/v1/completions'): CallerServer.complete,
+    ('POST', '/v1/keys'): CallerServer.mint,
+    ('GET', '/healthz'): CallerServer.health,
 }
 
 WINS = {
-    claimer.Won: Serving._take_won,
-    claimer.Held: Serving._take_held,
-    claimer.Unsettled: Serving._take_unsettled,
+    claimer.Won: CallerServer._take_won,
+    claimer.Held: CallerServer._take_held,
+    claimer.Unsettled: CallerServer._take_unsettled,
 }
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -33,7 +33,7 @@
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 
 
-class Part(typing.NamedTuple):
+class AttemptResult(typing.NamedTuple):
     """What became of one try at a target."""
 
     outcome: str
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    box : server.Serving
+    box : server.CallerServer
         What all requests of this box share.
     demand : parsing.Demand
     row : records.Row
@@ -88,12 +88,12 @@
             self.core.close_inbox(self.request)
 
     async def _serve(self, inbox):
-        self._step(Signal.START)
+        self._advance(Signal.START)
         self._open()
         while True:
             message, came = await inbox.get()
             if isinstance(message, messages.Refuse):
-                self._step(Signal.REFUSE)
+                self._advance(Signal.REFUSE)
                 return self._reject(message.reason, message.retry_after)
             part = await self._use(message, came)
             if part.reason == FROZEN:
@@ -125,7 +125,7 @@
 
     async def _use(self, grant, came):
         """Use a grant: import context, dispatch, stream."""
-        self._step(Signal.GRANT)
+        self._advance(Signal.GRANT)
         self._record(
             'granted',
             target=grant.target,
@@ -136,7 +136,7 @@
         )
         self._address = self.core.get_address(grant.target)
         began = self.core.timer.now()
-        reason = self._find_stale(grant, came)
+        reason = self._get_stale_reason(grant, came)
         if reason:
             return self._drop_stale(grant, reason)
         use = await self._import(grant)
@@ -154,14 +154,14 @@
         try:
             await stream.connect()
         except http.Unreachable as error:
-            self._step(Signal.STALE)
-            return Part('unreachable', None, str(error))
+            self._advance(Signal.STALE)
+            return AttemptResult('unreachable', None, str(error))
         try:
             return await self._dispatch(stream, grant, came, use)
         finally:
             stream.close()
 
-    def _find_stale(self, grant, came):
+    def _get_stale_reason(self, grant, came):
         # Looked at right before the first byte: whether this process ran
         # all the time, how old the decision is, and the target's state.
         now = self.core.timer.now()
@@ -173,15 +173,15 @@
         return node.may_dispatch(grant)
 
     def _drop_stale(self, grant, reason):
-        self._step(Signal.STALE)
+        self._advance(Signal.STALE)
         self._record('stale', target=grant.target, reason=reason)
-        return Part('stale', None, reason)
+        return AttemptResult('stale', None, reason)
 
     async def _dispatch(self, stream, grant, came, use):
-        reason = self._find_stale(grant, came)
+        reason = self._get_stale_reason(grant, came)
         if reason:
             return self._drop_stale(grant, reason)
-        self._step(Signal.SEND)
+        self._advance(Signal.SEND)
         self._record('dispatched', target=grant.target, tries=self.life.tries)
         job = targets.Job(
             request=f'{self.request}#{grant.grant}',
@@ -198,8 +198,8 @@
         )
         refused = await stream.start(job)
         if isinstance(refused, targets.NotStarted):
-            self._step(Signal.NOT_STARTED)
-            return Part('not_started', None, refused.reason)
+            self._advance(Signal.NOT_STARTED)
+            return AttemptResult('not_started', None, refused.reason)
         part = await self._relay(stream, refused)
         resumes, tokens = 0, self.life.tokens
         while part.outcome == 'cut' and resumes < MOST_RESUMES:
@@ -211,32 +211,34 @@
 
     async def _relay(self, stream, cut):
         if cut is not None:
-            self._step(Signal.CUT)
-            return Part('cut', None, cut.reason)
+            self._advance(Signal.CUT)
+            return AttemptResult('cut', None, cut.reason)
         async for event in stream.read():
             if isinstance(event, targets.End):
-                return self._take_end(event)
+                return self._handle_end(event)
             if isinstance(event, targets.Interrupted):
-                self._step(Signal.CUT)
-                return Part('cut', None, event.reason)
+                self._advance(Signal.CUT)
+                return AttemptResult('cut', None, event.reason)
             if event.index != self.life.tokens:
                 # A gap or a token that came twice would make the answer
                 # wrong, so the stream is taken up again at the right one.
-                self._step(Signal.CUT)
-                return Part('cut', None, f'token {event.index}')
-            self._step(Signal.TOKEN)
+                self._advance(Signal.CUT)
+                return AttemptResult('cut', None, f'token {event.index}')
+            self._advance(Signal.TOKEN)
             if self.first_token < 0:
                 self._record_first()
             await self.outlet.send(event.text)
-        self._step(Signal.CUT)
-        return Part('cut', None, 'no end')
+        self._advance(Signal.CUT)
+        return AttemptResult('cut', None, 'no end')
 
-    def _take_end(self, end):
+    def _handle_end(self, end):
         if end.output_tokens != self.life.tokens:
-            self._step(Signal.CUT)
-            return Part('cut', None, 'the end mark counts other tokens')
-        self._step(Signal.END)
-        return Part('ok', end)
+            self._advance(Signal.CUT)
+            return AttemptResult(
+                'cut', None, 'the end mark counts other tokens'
+            )
+        self._advance(Signal.END)
+        return AttemptResult('ok', end)
 
     async def _resume(self, grant, part):
         """Take up a broken stream where it ended; this runs nothing."""
@@ -250,7 +252,7 @@
             refused = await stream.resume(request, self.life.tokens)
             if refused is not None:
                 return part
-            self._step(Signal.RESUME)
+            self._advance(Signal.RESUME)
             self._record('resumed', target=grant.target, at=self.life.tokens)
             return await self._relay(stream, None)
         except http.Unreachable:
@@ -312,12 +314,12 @@
     def _judge_cut(self, grant, part):
         if not life_module.may_retry(self.life):
             self._record('broken', target=grant.target, reason=part.reason)
-            self._step(Signal.GIVE_UP)
+            self._advance(Signal.GIVE_UP)
             return self._reject('broken', 0.0, part.reason)
         if not self.box.budget.take():
-            self._step(Signal.GIVE_UP)
+            self._advance(Signal.GIVE_UP)
             return self._reject('retry_budget', FIRST_RETRY_AFTER_S)
-        self._step(Signal.RETRY)
+        self._advance(Signal.RETRY)
         self.core.metrics.retries.labels('cut').inc()
         return self._ask_again(grant, part)
 
@@ -327,7 +329,7 @@
         if part.reason not in OWN_REASONS:
             self.avoid.append(grant.target)
         if self._failed_tries >= MOST_TRIES:
-            self._step(Signal.GIVE_UP)
+            self._advance(Signal.GIVE_UP)
             return self._reject('no_target', FIRST_RETRY_AFTER_S)
         now = self.core.timer.now()
         actions = self.core.node.ask_again(self.request, self.avoid, now)
@@ -352,7 +354,7 @@
             fetched=self.fetched[0],
             fetch_s=self.fetched[1],
         )
-        self.core.perform(self.core.node.give_back(done, now))
+        self.core.perform(self.core.node.return_grant(done, now))
 
     def _is_plain(self):
         return self.demand.model in self.box.plain_models()
@@ -395,7 +397,7 @@
         )
         self._record('first_token', seconds=round(seconds, 4))
 
-    def _step(self, signal):
+    def _advance(self, signal):
         self.life = life_module.advance(self.life, signal)
         if signal is Signal.SEND:
             self.sent = self.core.timer.now()
@@ -416,7 +418,9 @@
                 run = f'{self.request}#{case.grant.grant}'
                 call = targets.cancel(self.core.client, self._address, run)
                 self.core.spawn(call)
-                self._give_back(case.grant, Part('cut', None, 'cancelled'))
+                self._give_back(
+                    case.grant, AttemptResult('cut', None, 'cancelled')
+                )
 
 
 JUDGES = {
--- a/landingspool/decisions/entry.py
+++ b/landingspool/decisions/entry.py
@@ -130,7 +130,7 @@
         )
         return self._ask(request, now)
 
-    def give_back(self, done, now):
+    def return_grant(self, done, now):
         """Return a grant, used or not; the request stays open."""
         tracked = self._tracked.get(done.request)
         if tracked is None:
--- a/landingspool/decisions/gateway/cold_targets.py
+++ b/landingspool/decisions/gateway/cold_targets.py
@@ -86,7 +86,7 @@
         if cold_s > 0:
             self._extend(name, now + cold_s)
 
-    def record_back(self, name, bound, now):
+    def record_reconnected(self, name, bound, now):
         """Record that a target's path or domain is reachable again.
 
         Parameters
@@ -97,12 +97,12 @@
         if bound.seconds > 0:
             self._extend(name, now + bound.seconds)
 
-    def find_left(self, name, now):
+    def get_seconds_left(self, name, now):
         """Return the seconds for which a target still counts as cold.
 
         >>> cold_targets = ColdTargets(shares_module.Shares(), 1.5, 5.0)
         >>> cold_targets.record_reported('t', 2.0, 10.0)
-        >>> [cold_targets.find_left('t', at) for at in (11.5, 12.0)]
+        >>> [cold_targets.get_seconds_left('t', at) for at in (11.5, 12.0)]
         [0.5, 0.0]
         """
         until = self._until.get(name)
@@ -110,14 +110,16 @@
 
     def may_send(self, name, bound, now):
         """Return whether this box may send a target one more request now."""
-        if not bound.per_s or not self.find_left(name, now):
+        if not bound.per_s or not self.get_seconds_left(name, now):
             return True
         quota = plan_quota(bound.per_s * self._over + self._slack)
         return self._shares.may_send(name, quota, now)
 
     def list_cold(self, now):
         """List the names of the targets that count as cold."""
-        return [name for name in self._until if self.find_left(name, now)]
+        return [
+            name for name in self._until if self.get_seconds_left(name, now)
+        ]
 
     def forget(self, name):
         """Forget an incarnation that has ended."""
--- a/landingspool/decisions/gateway/context_index.py
+++ b/landingspool/decisions/gateway/context_index.py
@@ -213,7 +213,7 @@
             return UNKNOWN
         return index.epoch, index.next
 
-    def tell(self, name, epoch, since, now):
+    def make_update(self, name, epoch, since, now):
         """Return the update for another box that knows an epoch up to `since`.
 
         Returns
--- a/landingspool/decisions/gateway/crashes.py
+++ b/landingspool/decisions/gateway/crashes.py
@@ -120,19 +120,19 @@
         code = peer_digests.hash_target(name)
         self._pending.append((fingerprint, code, now))
 
-    def record_over(self, name, now):
+    def record_incarnation_end(self, name, now):
         """Record a crash that the target's entry has confirmed.
 
         >>> crashes = Crashes()
         >>> crashes.record_unanswered(b'f', 'a', 1.0)
-        >>> crashes.record_over('a', 3.0)
+        >>> crashes.record_incarnation_end('a', 3.0)
         >>> crashes.count(b'f', 3.0)
         1
         """
         code = peer_digests.hash_target(name)
-        for fingerprint, life, at in self._pending:
-            if life == code and now - at < PENDING_S:
-                self._add(fingerprint, life, at, now)
+        for fingerprint, incarnation, at in self._pending:
+            if incarnation == code and now - at < PENDING_S:
+                self._add(fingerprint, incarnation, at, now)
         self._pending = [row for row in self._pending if row[1] != code]
 
     def record_alive(self, name, sent):
@@ -146,15 +146,19 @@
         >>> crashes.count(b'f', 2.0)
         0
         """
-        life = peer_digests.hash_target(name)
-        self._alive[life] = max(sent, self._alive.get(life, sent))
-        self._alive.move_to_end(life)
+        incarnation = peer_digests.hash_target(name)
+        self._alive[incarnation] = max(
+            sent, self._alive.get(incarnation, sent)
+        )
+        self._alive.move_to_end(incarnation)
         bounded.trim(self._alive, MAX_FINGERPRINTS)
-        for fingerprint in self._recent.pop(life, ()):
+        for fingerprint in self._recent.pop(incarnation, ()):
             crashes = self._crashes.get(fingerprint, {})
-            if life in crashes and self._is_alive(life, crashes[life]):
-                del crashes[life]
-                self._revoked[fingerprint, life] = sent
+            if incarnation in crashes and self._is_alive(
+                incarnation, crashes[incarnation]
+            ):
+                del crashes[incarnation]
+                self._revoked[fingerprint, incarnation] = sent
                 self._record_fewer(fingerprint, len(crashes) + 1)
         bounded.trim(self._revoked, MAX_FINGERPRINTS)
 
@@ -168,8 +172,8 @@
         """Apply a notice from a peer, and pass it on if it is new.
 
         >>> crashes = Crashes()
-        >>> for life in (7, 8, 9):
-        ...     crashes.take(peer_digests.CrashNotice(b'f', life, 100), 5.0)
+        >>> for incarnation in (7, 8, 9):
+        ...     crashes.take(peer_digests.CrashNotice(b'f', incarnation, 100), 5.0)
         >>> crashes.get_quarantine(b'f', 5.0) is Quarantine.CRASHED
         True
         >>> none = peer_digests.NO_INCARNATION
@@ -178,7 +182,7 @@
         (None, [b'f'])
         """
         at = now - notice.age_ms / 1000
-        if notice.life == peer_digests.NO_INCARNATION:
+        if notice.incarnation == peer_digests.NO_INCARNATION:
             if (
                 at
                 > self._served.get(notice.fingerprint, -math.inf)
@@ -189,7 +193,7 @@
                     notice.fingerprint, peer_digests.NO_INCARNATION, at
                 )
             return
-        self._add(notice.fingerprint, notice.life, at, now)
+        self._add(notice.fingerprint, notice.incarnation, at, now)
 
     def count(self, fingerprint, now):
         """Count the targets that crashed under a request."""
@@ -221,7 +225,7 @@
             return Quarantine.SUSPECT_RUNNING
         return None
 
-    def find_left(self, fingerprint, now):
+    def get_seconds_left(self, fingerprint, now):
         """Return the seconds for which a request stays quarantined."""
         crashes = sorted(self._crashes.get(fingerprint, {}).values())
         if len(crashes) < MAX_CRASHES:
@@ -232,8 +236,8 @@
         """List what is known about a request, as notices."""
         crashes = self._crashes.get(fingerprint, {})
         return [
-            gossip.make_notice(fingerprint, life, at, now)
-            for life, at in crashes.items()
+            gossip.make_notice(fingerprint, incarnation, at, now)
+            for incarnation, at in crashes.items()
         ]
 
     def list_known(self, now, least=MAX_CRASHES - 1):
@@ -274,26 +278,26 @@
     def _weigh(self, fingerprint):
         return min(len(self._crashes.get(fingerprint, ())), MAX_CRASHES)
 
-    def _is_alive(self, life, at):
-        return at < self._alive.get(life, at) <= at + ALIVE_S
+    def _is_alive(self, incarnation, at):
+        return at < self._alive.get(incarnation, at) <= at + ALIVE_S
 
-    def _add(self, fingerprint, life, at, now):
+    def _add(self, fingerprint, incarnation, at, now):
         """Count a crash, unless it is known or was revoked."""
-        if now - at >= REMEMBERED_S or self._is_alive(life, at):
+        if now - at >= REMEMBERED_S or self._is_alive(incarnation, at):
             return
         if at <= self._served.get(fingerprint, -math.inf):
             return
-        if (fingerprint, life) in self._revoked:
+        if (fingerprint, incarnation) in self._revoked:
             return
         crashes = self._crashes.setdefault(fingerprint, {})
-        if life in crashes or len(crashes) > MAX_CRASHES:
+        if incarnation in crashes or len(crashes) > MAX_CRASHES:
             return
-        crashes[life] = at
+        crashes[incarnation] = at
         self._crashes.move_to_end(fingerprint)
         bounded.trim(self._crashes, MAX_FINGERPRINTS)
-        self._recent.setdefault(life, set()).add(fingerprint)
+        self._recent.setdefault(incarnation, set()).add(fingerprint)
         bounded.trim(self._recent, MAX_FINGERPRINTS)
-        self._gossip.put(fingerprint, life, at)
+        self._gossip.put(fingerprint, incarnation, at)
         if len(crashes) == MAX_CRASHES:
             self.fresh.append(fingerprint)
 
@@ -304,10 +308,12 @@
         bounded.trim(self._served, MAX_FINGERPRINTS)
         crashes = self._crashes.get(fingerprint, {})
         before = len(crashes)
-        for life in [
-            life for life, at_crash in crashes.items() if at_crash <= at
+        for incarnation in [
+            incarnation
+            for incarnation, at_crash in crashes.items()
+            if at_crash <= at
         ]:
-            del crashes[life]
+            del crashes[incarnation]
         self._record_fewer(fingerprint, before)
 
     def _record_fewer(self, fingerprint, before):
--- a/landingspool/decisions/gateway/exclusions.py
+++ b/landingspool/decisions/gateway/exclusions.py
@@ -156,7 +156,7 @@
             if self.get_exclusion(e, requirements, now) is None
         ]
 
-    def find_lack(self, entries, requirements, now):
+    def get_shortage(self, entries, requirements, now):
         """Return why no target other than those tried may get a request."""
         exclusions = {
             self.get_exclusion(entry, requirements, now) for entry in entries
@@ -167,7 +167,7 @@
                 return exclusion
         return exclusions.pop() if len(exclusions) == 1 else 'no_target'
 
-    def list_keepers(self, work, table):
+    def list_context_stores(self, work, table):
         """Return the stores that may hold the request's KV cache.
 
         The keys are the addresses of the stores.
@@ -193,7 +193,7 @@
             return False
         for entry in entries:
             if entry.domain == domain:
-                self.record_back(entry, table, now)
+                self.record_reconnected(entry, table, now)
         return True
 
     def forget(self, name):
@@ -207,10 +207,10 @@
         self.cold_targets.forget(name)
         self.limits.forget(name)
 
-    def record_back(self, entry, table, now):
+    def record_reconnected(self, entry, table, now):
         """Record that a target's path or domain is reachable again."""
         bound = get_cold_bound(table, entry.service)
-        self.cold_targets.record_back(entry.name, bound, now)
+        self.cold_targets.record_reconnected(entry.name, bound, now)
 
 
 def get_cold_bound(table, service):
--- a/landingspool/decisions/gateway/gossip.py
+++ b/landingspool/decisions/gateway/gossip.py
@@ -21,9 +21,9 @@
         self._at = {}
         self._sent_counts = {}
 
-    def put(self, fingerprint, life, at):
+    def put(self, fingerprint, incarnation, at):
         """Queue a notice of what happened at `at`."""
-        key = fingerprint, life
+        key = fingerprint, incarnation
         self._at[key] = at
         self._sent_counts[key] = 0
 
@@ -60,7 +60,7 @@
         return notices
 
 
-def make_notice(fingerprint, life, at, now):
+def make_notice(fingerprint, incarnation, at, now):
     """Return the notice of what happened at `at`."""
     age_ms = max(int((now - at) * 1000), 0)
-    return peer_digests.CrashNotice(fingerprint, life, age_ms)
+    return peer_digests.CrashNotice(fingerprint, incarnation, age_ms)
--- a/landingspool/decisions/gateway/leaving.py
+++ b/landingspool/decisions/gateway/leaving.py
@@ -33,7 +33,7 @@
 
     Attributes
     ----------
-    life : int
+    incarnation : int
         Hash of the incarnation's name (peer_digests.hash_target).
     heard : float
         When the answer with the announcement was received.
@@ -43,7 +43,7 @@
         Whether the incarnation has ended.
     """
 
-    life: int
+    incarnation: int
     heard: float
     box: str = ''
     is_over: bool = False
@@ -85,18 +85,18 @@
         ----------
         notice : peer_digests.LeavingNotice
         """
-        self._put(Known(notice.life, now - notice.age_ms / 1000, box))
+        self._put(Known(notice.incarnation, now - notice.age_ms / 1000, box))
 
-    def record_over(self, name):
+    def record_incarnation_end(self, name):
         """Record that an incarnation ended, keeping its announcement.
 
         It may only seem to have ended: its entry may have lapsed.
         """
-        life = peer_digests.hash_target(name)
-        known = self._known.get(life)
+        incarnation = peer_digests.hash_target(name)
+        known = self._known.get(incarnation)
         if known is not None and not known.is_over:
-            self._known[life] = known._replace(is_over=True)
-            self.fresh.append(self._known[life])
+            self._known[incarnation] = known._replace(is_over=True)
+            self.fresh.append(self._known[incarnation])
 
     def holds(self, name):
         """Return whether a target has announced that it is leaving."""
@@ -132,9 +132,9 @@
         ]
 
     def _put(self, known):
-        if known.life in self._known:
+        if known.incarnation in self._known:
             return
-        self._known[known.life] = known
+        self._known[known.incarnation] = known
         self.fresh.append(known)
         bounded.trim(self._known, MAX_KNOWN)
 
@@ -142,4 +142,4 @@
 def make_notice(known, now):
     """Return the peer_digests.LeavingNotice of a Known."""
     age_ms = max(int((now - known.heard) * 1000), 0)
-    return peer_digests.LeavingNotice(known.life, age_ms)
+    return peer_digests.LeavingNotice(known.incarnation, age_ms)
--- a/landingspool/decisions/gateway/limits.py
+++ b/landingspool/decisions/gateway/limits.py
@@ -86,10 +86,10 @@
 class Change(typing.NamedTuple):
     """A changed limit, for the log.
 
-    `life` is the hash of the incarnation's name (peer_digests.hash_target).
+    `incarnation` is the hash of the incarnation's name (peer_digests.hash_target).
     """
 
-    life: int
+    incarnation: int
     known: Known
 
 
@@ -145,9 +145,9 @@
         >>> limits.record_unnamed('t', 1.15, 1.3)
         >>> limits.find('t')
         """
-        life = peer_digests.hash_target(name)
-        if life in self._known:
-            self._put(life, Known(NO_LIMIT, asked, heard, heard))
+        incarnation = peer_digests.hash_target(name)
+        if incarnation in self._known:
+            self._put(incarnation, Known(NO_LIMIT, asked, heard, heard))
 
     def take(self, notice, box, now):
         """Apply a notice of a limit from a peer.
@@ -158,14 +158,14 @@
         """
         if not is_valid_rate(notice.per_s):
             return
-        if not notice.per_s and notice.life not in self._known:
+        if not notice.per_s and notice.incarnation not in self._known:
             return
         asked, heard = (
             now - notice.asked_ms / 1000,
             now - notice.heard_ms / 1000,
         )
         self._put(
-            notice.life,
+            notice.incarnation,
             Known(notice.per_s, asked, heard, now, box),
             MAX_TRANSIT_S,
         )
@@ -176,8 +176,8 @@
         self.is_urgent = False
         again = self._digests % REPEAT_EVERY == 0
         notices = [
-            make_notice(life, known, now)
-            for life, known in self._known.items()
+            make_notice(incarnation, known, now)
+            for incarnation, known in self._known.items()
             if is_due(known, again, now)
         ]
         # If there are too many notices, each digest has others.
@@ -187,8 +187,8 @@
     def list_notices(self, now):
         """List the notices of all limits in force, for a box that starts."""
         return [
-            make_notice(life, known, now)
-            for life, known in self._known.items()
+            make_notice(incarnation, known, now)
+            for incarnation, known in self._known.items()
             if known.per_s
         ]
 
@@ -241,8 +241,8 @@
         """Forget an incarnation that has ended."""
         self._known.pop(peer_digests.hash_target(name), None)
 
-    def _put(self, life, notice, transit_s=0.0):
-        known = self._known.get(life)
+    def _put(self, incarnation, notice, transit_s=0.0):
+        known = self._known.get(incarnation)
         if known is not None and not supersedes(notice, known, transit_s):
             return
         if known is not None and known.per_s == notice.per_s:
@@ -255,9 +255,9 @@
             since = notice.changed if begins else known.since
             notice = notice._replace(since=since)
             self.is_urgent = self.is_urgent or begins
-            self.fresh.append(Change(life, notice))
-        self._known[life] = notice
-        self._known.move_to_end(life)
+            self.fresh.append(Change(incarnation, notice))
+        self._known[incarnation] = notice
+        self._known.move_to_end(incarnation)
         bounded.trim(self._known, MAX_KNOWN)
 
 
@@ -314,12 +314,14 @@
     return again and (bool(known.per_s) or age_s < ENDED_S)
 
 
-def make_notice(life, known, now):
+def make_notice(incarnation, known, now):
     """Return the peer_digests.LimitNotice of an incarnation."""
     asked_ms, heard_ms = (
         max(int((now - at) * 1000), 0) for at in (known.asked, known.heard)
     )
-    return peer_digests.LimitNotice(life, known.per_s, asked_ms, heard_ms)
+    return peer_digests.LimitNotice(
+        incarnation, known.per_s, asked_ms, heard_ms
+    )
 
 
 def get_open_quota(known, now):
--- a/landingspool/decisions/gateway/loads.py
+++ b/landingspool/decisions/gateway/loads.py
@@ -133,13 +133,13 @@
         waiting = sum(1 for row in rows if not row.begun)
         return waiting, len(rows) - waiting
 
-    def list_told(self):
+    def list_reported(self):
         """Return this box's requests at each target, as in a Digest.
 
         >>> loads = Loads()
         >>> loads.record_sent('t', 'q', Sent(1.0, 500, False, 600))
         >>> loads.record_sent('t', 'r', Sent(1.0, 200, True, 300))
-        >>> loads.list_told()
+        >>> loads.list_reported()
         {'t': [500, 1, 900, 1]}
         """
         reported = {}
--- a/landingspool/decisions/gateway/peer_digests.py
+++ b/landingspool/decisions/gateway/peer_digests.py
@@ -35,7 +35,7 @@
     ----------
     fingerprint : bytes
         Of the request.
-    life : int
+    incarnation : int
         Hash of the crashed incarnation's name (hash_target); NO_INCARNATION:
         the request was answered completely.
     age_ms : int
@@ -43,7 +43,7 @@
     """
 
     fingerprint: bytes
-    life: int
+    incarnation: int
     age_ms: int
 
 
@@ -52,7 +52,7 @@
 
     Attributes
     ----------
-    life : int
+    incarnation : int
         Hash of the incarnation's name (hash_target).
     per_s : float
         Requests a second from all boxes; 0: it advertises no limit any more.
@@ -61,7 +61,7 @@
         received.
     """
 
-    life: int
+    incarnation: int
     per_s: float
     asked_ms: int
     heard_ms: int
@@ -72,13 +72,13 @@
 
     Attributes
     ----------
-    life : int
+    incarnation : int
         Hash of the incarnation's name (hash_target).
     age_ms : int
         Milliseconds since the announcement.
     """
 
-    life: int
+    incarnation: int
     age_ms: int
 
 
@@ -119,15 +119,15 @@
     leaving: tuple[LeavingNotice, ...] = ()
 
 
-class Ask(typing.NamedTuple):
+class ProofQuery(typing.NamedTuple):
     """Asks a box how fresh its table is."""
 
     box: str
     number: int
 
 
-class Tell(typing.NamedTuple):
-    """Answers an Ask, with its number."""
+class ProofReply(typing.NamedTuple):
+    """Answers an ProofQuery, with its number."""
 
     box: str
     number: int
--- a/landingspool/decisions/gateway/reachability.py
+++ b/landingspool/decisions/gateway/reachability.py
@@ -126,15 +126,15 @@
         """List the targets that this box itself could not connect to."""
         return [name for name, out in self._outages.items() if out.failed]
 
-    def list_told(self):
+    def list_reported(self):
         """List the targets that are reported to peers.
 
         >>> known = Reachability()
         >>> known.record_failed('a', 10.0)
-        >>> known.list_told()
+        >>> known.list_reported()
         ()
         >>> known.record_failed('a', 10.5)
-        >>> known.list_told()
+        >>> known.list_reported()
         ('a',)
         """
         rows = self._outages.items()
--- a/landingspool/decisions/gateway/readers.py
+++ b/landingspool/decisions/gateway/readers.py
@@ -112,11 +112,11 @@
         self._old_s = old_s
         self._avoided = {}
 
-    def shun(self, name, now):
+    def avoid(self, name, now):
         """Record that a box failed; the own name: the store failed it."""
         self._avoided[name] = now + AVOID_S
 
-    def is_shunned(self, name, now):
+    def is_avoided(self, name, now):
         """Return whether a box failed shortly before `now`."""
         return now < self._avoided.get(name, 0.0)
 
@@ -139,11 +139,11 @@
         # If the first readers fail the next two read for all: if every box
         # did, each of them would add load to a failing store.
         ranked = rank_readers({**links, self._box: self._link_mbps})
-        sound = [n for n in ranked if not self.is_shunned(n, now)]
+        sound = [n for n in ranked if not self.is_avoided(n, now)]
         reads = age_s > self._old_s or self._box in sound[:READERS]
         if reads and self._box in sound:
             return None
         others = [n for n in sound if n != self._box]
         # Followers are spread over the readers, so that each sends to half of
         # them.
-        return ownership.find_owner(self._box, others[:READERS])
+        return ownership.get_owner(self._box, others[:READERS])
--- a/landingspool/decisions/gateway/stalls.py
+++ b/landingspool/decisions/gateway/stalls.py
@@ -17,8 +17,8 @@
     now : float
     """
     view.loads.exclude_stall(seconds)
-    view.neighbours.exclude_stall(seconds)
-    view.watching.exclude_stall(seconds)
+    view.peer_digests.exclude_stall(seconds)
+    view.watchers.exclude_stall(seconds)
     view.fleet.exclude_stall(seconds)
     # Peers did not know what this box would send to limited targets.
-    view.bars.shares.restart(now)
+    view.exclusions.shares.restart(now)
--- a/landingspool/decisions/gateway/view.py
+++ b/landingspool/decisions/gateway/view.py
@@ -67,14 +67,18 @@
         self.loads = loads_module.Loads()
         self.latency = latency.LatencyTracker()
         self.weights = weights_module.Weights(bounds.version_s)
-        self.reach = reachability_module.Reachability()
-        self.watching = watchers_module.Watchers()
+        self.reachability = reachability_module.Reachability()
+        self.watchers = watchers_module.Watchers()
         self.engine_split = split_module.EngineSplit()
-        self.bars = exclusions.Exclusions(bounds, regions or {}, self.rng)
-        self.room = capacity_module.FreeCapacity(self.fleet, self.bars)
+        self.exclusions = exclusions.Exclusions(
+            bounds, regions or {}, self.rng
+        )
+        self.free_capacity = capacity_module.FreeCapacity(
+            self.fleet, self.exclusions
+        )
         self.context_index = index_module.ContextIndex()
         self.proof = freshness.Proof(bounds.key_s, bounds.keys_fail_closed)
-        self.neighbours = peer_digests.PeerDigests()
+        self.peer_digests = peer_digests.PeerDigests()
         self.endings = crashes_module.Crashes()
         self.boxes = MIN_BOXES
         # Number of other boxes in each domain.
@@ -98,21 +102,25 @@
         if state == fleet_module.SUPERSEDED:
             return state
         if before not in (None, entry.name):
-            self.record_over(before, now)
-        self.bars.cold_targets.record_reported(entry.name, entry.cold_s, now)
+            self.record_incarnation_end(before, now)
+        self.exclusions.cold_targets.record_reported(
+            entry.name, entry.cold_s, now
+        )
         return state
 
     def withdraw_evacuation(self, domain, now):
         """Record the end of an evacuation; return True if it was in force."""
         entries = self.fleet.entries.values()
-        return self.bars.withdraw_evacuation(domain, entries, self.table, now)
+        return self.exclusions.withdraw_evacuation(
+            domain, entries, self.table, now
+        )
 
-    def record_back(self, name, now):
+    def record_reconnected(self, name, now):
         """Record that this box can connect to a target again."""
         entry = self.fleet.entries.get(name)
-        self.reach.record_reached(name, now)
+        self.reachability.record_reached(name, now)
         if entry is not None:
-            self.bars.record_back(entry, self.table, now)
+            self.exclusions.record_reconnected(entry, self.table, now)
 
     def list_services(self):
         """Return the names of the published services."""
@@ -123,27 +131,27 @@
         return [
             entry
             for entry in self.fleet.list_model(model, self.list_services())
-            if not self.bars.is_closed(entry)
+            if not self.exclusions.is_closed(entry)
         ]
 
     def may_send(self, entry, work, now):
         """Return whether a request may be sent to a target now."""
         if entry.name not in self.fleet.entries:
             return False
-        limits = self.bars.get_requirements(work, self.table)
-        return self.bars.get_exclusion(entry, limits, now) is None
+        limits = self.exclusions.get_requirements(work, self.table)
+        return self.exclusions.get_exclusion(entry, limits, now) is None
 
     def has_available(self, work, now):
         """Return whether a request's service has a target not excluded."""
-        limits = self.bars.get_requirements(work, self.table)
+        limits = self.exclusions.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
-        return bool(self.bars.list_open(entries, limits, now))
+        return bool(self.exclusions.list_open(entries, limits, now))
 
-    def find_lack(self, work, now):
+    def get_shortage(self, work, now):
         """Return why no target may get a request."""
-        limits = self.bars.get_requirements(work, self.table)
+        limits = self.exclusions.get_requirements(work, self.table)
         entries = self.fleet.list_service(work.service)
-        return self.bars.find_lack(entries, limits, now)
+        return self.exclusions.get_shortage(entries, limits, now)
 
     def plan(self, work, avoid, now, ready=frozenset()):
         """Choose a target for a request; return a Plan, or None.
@@ -268,7 +276,7 @@
             held = plans.count_held(work)
         sent = loads_module.Sent(now, tokens, False, held)
         self.loads.record_sent(plan.entry.name, work.name, sent)
-        self.bars.record_sent(plan.entry.name, now)
+        self.exclusions.record_sent(plan.entry.name, now)
 
     def record_first(self, plan, work, now):
         """Record the first byte of the answer to a request."""
@@ -278,7 +286,7 @@
             # current one.
             return
         self.loads.record_received(name, now)
-        self.reach.record_reached(name, now)
+        self.reachability.record_reached(name, now)
         sent = self.loads.record_first(name, work.name)
         if sent is not None:
             self.endings.record_alive(name, sent.at)
@@ -315,36 +323,36 @@
 
     def take_digest(self, digest, now):
         """Store what another box reports of its requests and of targets."""
-        self.neighbours.take(digest, now)
-        for name in self.watching.receive_report(
+        self.peer_digests.take(digest, now)
+        for name in self.watchers.receive_report(
             digest.box, digest.unreached, now
         ):
-            self.reach.expedite(name, now)
+            self.reachability.expedite(name, now)
         for name in digest.unreached:
             if name in self.fleet.entries:
                 self._suspect(name, now)
         for notice in digest.endings:
             self.endings.take(notice, now)
         for notice in digest.limits:
-            self.bars.limits.take(notice, digest.box, now)
+            self.exclusions.limits.take(notice, digest.box, now)
         for notice in digest.leaving:
-            self.bars.leaving.take(notice, digest.box, now)
+            self.exclusions.leaving.take(notice, digest.box, now)
         for store, counted in digest.rooms.items():
             self.context_index.record_taken(store, *counted)
 
     def _suspect(self, name, now):
-        duty = self.watching.is_duty(name)
+        duty = self.watchers.is_duty(name)
         confirm_s = (
             reachability_module.WATCHER_CONFIRMED_S
             if duty
             else reachability_module.CONFIRMED_S
         )
-        self.reach.suspect(name, now, confirm_s)
+        self.reachability.suspect(name, now, confirm_s)
 
     def record_unreached(self, name, now):
         """Record that this box could not connect to a target."""
-        watched = self.watching.is_watched(name, now)
-        self.reach.record_failed(name, now, watched)
+        watched = self.watchers.is_watched(name, now)
+        self.reachability.record_failed(name, now, watched)
 
     def get_health(self, name):
         """Return the Health of a target."""
@@ -353,7 +361,7 @@
     def count_first(self, work, now):
         """Count a request for the retry budget of its service."""
         self._get_retry_budget(work.service).record_first(now)
-        self.room.record(work, now)
+        self.free_capacity.record(work, now)
 
     def may_repeat(self, service, now):
         """Take one repeat from a service's retry budget, if one is left."""
@@ -362,21 +370,21 @@
     def may_call(self, name, now):
         """Return whether calls other than requests may go to a target."""
         entry = self.fleet.entries.get(name)
-        return entry is not None and self.bars.may_call(entry, now)
+        return entry is not None and self.exclusions.may_call(entry, now)
 
-    def record_over(self, name, now):
+    def record_incarnation_end(self, name, now):
         """Record that the incarnation of a target has ended."""
-        self.endings.record_over(name, now)
-        self.bars.leaving.record_over(name)
+        self.endings.record_incarnation_end(name, now)
+        self.exclusions.leaving.record_incarnation_end(name)
         self.forget(name)
 
     def forget(self, name):
         """Discard what was learned of a target that is gone."""
         self._health.pop(name, None)
         self.loads.forget(name)
-        self.reach.forget(name)
+        self.reachability.forget(name)
         self.context_index.forget(name)
-        self.bars.forget(name)
+        self.exclusions.forget(name)
 
     def _get_retry_budget(self, service):
         known = self._retry_budgets.get(service)
@@ -390,12 +398,12 @@
 
     def _list_usable(self, work, avoid, now):
         """Return the entries of the targets that a request may be sent to."""
-        limits = self.bars.get_requirements(work, self.table)
+        limits = self.exclusions.get_requirements(work, self.table)
         known = self.fleet.list_service(work.service)
         known = [entry for entry in known if entry.name not in avoid]
-        entries = self.bars.list_open(known, limits, now)
+        entries = self.exclusions.list_open(known, limits, now)
         # If none can be reached, an attempt costs no more than a refusal.
-        reached = [e for e in entries if not self.reach.is_out(e.name)]
+        reached = [e for e in entries if not self.reachability.is_out(e.name)]
         entries = reached or entries
         if work.prompt is None:
             return entries
@@ -416,13 +424,13 @@
         ]
 
     def _make_candidate(self, entry, work, now, transfers_by_space):
-        peers_by_domain = self.neighbours.get_load(
+        peers_by_domain = self.peer_digests.get_load(
             entry.name, self.peers_by_domain, now
         )
         load = self.loads.measure(entry.name, peers_by_domain)
         health = self.get_health(entry.name)
-        cold_s = self.bars.cold_targets.find_left(entry.name, now)
-        limited = self.bars.limits.find(entry.name) is not None
+        cold_s = self.exclusions.cold_targets.get_seconds_left(entry.name, now)
+        limited = self.exclusions.limits.find(entry.name) is not None
         if work.prompt is None:
             return choice.Candidate(
                 entry, load, health, cold_s=cold_s, limited=limited
@@ -505,7 +513,7 @@
         planned = transfers.plan_transfer(
             work.prompt,
             space,
-            self.bars.list_keepers(work, self.table),
+            self.exclusions.list_context_stores(work, self.table),
             self.context_index,
             service.engine.token_bytes,
             now,
--- a/landingspool/decisions/kv_offload.py
+++ b/landingspool/decisions/kv_offload.py
@@ -63,7 +63,7 @@
     backoff_until: float = 0.0
 
 
-class Keeper:
+class OffloadPlanner:
     """Plans which context of one pool is held in the stores.
 
     Parameters
--- a/landingspool/decisions/node.py
+++ b/landingspool/decisions/node.py
@@ -147,9 +147,9 @@
         """Close a request of this box and return a list of actions."""
         return self._expand(self.entry.close(request, now), now)
 
-    def give_back(self, done, now):
+    def return_grant(self, done, now):
         """Release a slot and return a list of actions."""
-        return self._expand(self.entry.give_back(done, now), now)
+        return self._expand(self.entry.return_grant(done, now), now)
 
     def ask_again(self, request, avoid, now):
         """Ask for another slot and return a list of actions."""
@@ -251,7 +251,7 @@
         actions = []
         for domain, message in loan_requests:
             subject = entry.make_limiter_key(message.workspace)
-            box = ownership.find_owner(subject, self.roster.view(domain))
+            box = ownership.get_owner(subject, self.roster.view(domain))
             if box:
                 actions.append(outputs.Send(box, message))
         return actions
@@ -260,7 +260,7 @@
     def _on_ask(self, sender, message, now):
         work = message.work
         _, domain, _ = ownership.split_pool(work.pool)
-        owner = ownership.find_owner(work.pool, self.roster.view(self.domain))
+        owner = ownership.get_owner(work.pool, self.roster.view(self.domain))
         # A box of another domain learns of changes in this domain late.  A
         # request that it sent to the wrong box is forwarded to the owner,
         # once.
--- a/landingspool/decisions/ownership.py
+++ b/landingspool/decisions/ownership.py
@@ -18,7 +18,7 @@
     return xxhash.xxh3_64_intdigest(f'{subject}\0{box}'.encode())
 
 
-def find_owner(subject, boxes):
+def get_owner(subject, boxes):
     """Return the box responsible for `subject`, or None without boxes.
 
     Parameters
@@ -26,9 +26,9 @@
     subject : str
     boxes : iterable of str
 
-    >>> find_owner('pool', ['a', 'b']) in ('a', 'b')
+    >>> get_owner('pool', ['a', 'b']) in ('a', 'b')
     True
-    >>> find_owner('pool', []) is None
+    >>> get_owner('pool', []) is None
     True
     """
     ranked = rank(subject, tuple(sorted(boxes)))
--- a/landingspool/decisions/pools.py
+++ b/landingspool/decisions/pools.py
@@ -32,7 +32,7 @@
         self.box = box
         self.domain = domain
         self.schedulers = {}
-        self.keepers = {}
+        self.offload_planners = {}
         self.holders = {}
         self._writer = f'{box}.{incarnation}'
         self._roster = roster
@@ -53,7 +53,7 @@
             pool_scheduler.rooms = self._rooms.setdefault(model, {})
             self.schedulers[pool] = pool_scheduler
             self._rollouts[pool] = rollout.Rollout()
-            self.keepers[pool] = kv_offload.Keeper(
+            self.offload_planners[pool] = kv_offload.OffloadPlanner(
                 self._writer, self._retention
             )
         return pool_scheduler
@@ -68,10 +68,7 @@
         for pool, pool_scheduler in list(self.schedulers.items()):
             sends, notes = pool_scheduler.tick(now)
             actions += [*sends, *notes]
-            if (
-                self._roster.find_owner(pool, pool_scheduler.domain)
-                == self.box
-            ):
+            if self._roster.get_owner(pool, pool_scheduler.domain) == self.box:
                 actions += self._plan_orders(pool, pool_scheduler, table, now)
             else:
                 self._retire(pool, pool_scheduler, now)
@@ -105,12 +102,12 @@
             name: found.room // pools for name, found in contents.items()
         }
         actions = []
-        for pool, pool_keeper in self.keepers.items():
-            pool_keeper.set_stores(capacities)
+        for pool, offload_planner in self.offload_planners.items():
+            offload_planner.set_stores(capacities)
             offers = self.schedulers[pool].directory
             for found in contents.values():
                 rows = [row for name, row in found.rows if name == pool]
-                actions += pool_keeper.adopt(rows, offers, now)
+                actions += offload_planner.adopt(rows, offers, now)
         return actions
 
     def report(self, report, now):
@@ -162,8 +159,8 @@
         if done.outcome != 'ok' or active_grant is None:
             return actions
         target = pool_scheduler.targets.get(active_grant.target)
-        pool_keeper = self.keepers[done.pool]
-        more = pool_keeper.plan(
+        offload_planner = self.offload_planners[done.pool]
+        more = offload_planner.plan(
             active_grant, target, pool_scheduler.directory, shares, now
         )
         return [*actions, *more]
@@ -182,16 +179,16 @@
         pool_scheduler = self.schedulers.get(export.pool)
         if pool_scheduler is None:
             return []
-        pool_keeper = self.keepers[export.pool]
+        offload_planner = self.offload_planners[export.pool]
         if block is None:
-            actions = pool_keeper.failed(export.key, export.store, now)
+            actions = offload_planner.failed(export.key, export.store, now)
         else:
-            actions = pool_keeper.sealed(
+            actions = offload_planner.sealed(
                 export.key, block, pool_scheduler.directory, export.workspace
             )
         return [
             *actions,
-            *pool_keeper.work(pool_scheduler.directory, shares, now),
+            *offload_planner.work(pool_scheduler.directory, shares, now),
         ]
 
     def drop_blocks(self, pool, keys):
@@ -206,7 +203,7 @@
         found = [pool_scheduler.directory.get_stored(key) for key in keys]
         pool_scheduler.directory.record_freed(keys)
         failed = [stored.block for stored in found if stored is not None]
-        return self.keepers[pool].reject(failed)
+        return self.offload_planners[pool].reject(failed)
 
     def record_summary(self, summary, now):
         """Record a summary from another domain."""
@@ -229,7 +226,7 @@
 
     def _send_summary(self, summary, model, domain):
         boxes = {
-            self._roster.find_owner(pool, domain)
+            self._roster.get_owner(pool, domain)
             for pool in self._roster.list_shards(model, domain)
         }
         return [outputs.Send(box, summary) for box in sorted(boxes - {None})]
@@ -265,4 +262,4 @@
         if idle and now - pool_scheduler.started > IDLE_TIMEOUT_S:
             del self.schedulers[pool]
             del self._rollouts[pool]
-            del self.keepers[pool]
+            del self.offload_planners[pool]
--- a/landingspool/decisions/roster.py
+++ b/landingspool/decisions/roster.py
@@ -66,9 +66,9 @@
         boxes = self._boxes.get(domain, ())
         return tuple(sorted(m.name for m in boxes if not m.leaving))
 
-    def find_owner(self, subject, domain):
+    def get_owner(self, subject, domain):
         """Return the box of a domain responsible for `subject`, or None."""
-        return ownership.find_owner(subject, self.view(domain))
+        return ownership.get_owner(subject, self.view(domain))
 
     def list_pool(self, model, domain):
         """List the targets of a model in a domain."""
@@ -105,7 +105,7 @@
                 pool
                 for model in self.list_models(self.domain)
                 for pool in self.list_shards(model, self.domain)
-                if ownership.find_owner(pool, alive) == self.box
+                if ownership.get_owner(pool, alive) == self.box
             )
         return self._owned
 
--- a/landingspool/gateway/attempts.py
+++ b/landingspool/gateway/attempts.py
@@ -366,7 +366,7 @@
             name, head.notices, self._sent_at, certain
         )
         if answered and not head.notices.asks_backoff:
-            self._view.bars.backoffs.record_answered(name, self._sent_at)
+            self._view.exclusions.backoffs.record_answered(name, self._sent_at)
 
     def _record_version(self, version):
         prompt = self._state.work.prompt
--- a/landingspool/gateway/boxcalls.py
+++ b/landingspool/gateway/boxcalls.py
@@ -31,7 +31,7 @@
         # If this process stalled during the call, the failure says nothing
         # about the peer.
         if hub.timer.ran_since(sent):
-            hub.peering.shun(peer.name, str(error))
+            hub.peering.avoid(peer.name, str(error))
         raise
 
 
--- a/landingspool/gateway/cache_follower.py
+++ b/landingspool/gateway/cache_follower.py
@@ -104,7 +104,9 @@
             return followed
         for entry in self._hub.view.fleet.entries.values():
             service = table.services.get(entry.service)
-            if not self._hub.view.bars.may_call(entry, self._hub.clock()):
+            if not self._hub.view.exclusions.may_call(
+                entry, self._hub.clock()
+            ):
                 continue
             if service is not None and service.engine is not None:
                 followed[entry.name] = entry.address, TARGET_PERIOD_S
@@ -244,7 +246,7 @@
             return
         known, now = self._hub.view.context_index, self._hub.clock()
         found = {
-            n: known.tell(n, *position, now)
+            n: known.make_update(n, *position, now)
             for n, position in positions.items()
         }
         answers = {
--- a/landingspool/gateway/crash_records.py
+++ b/landingspool/gateway/crash_records.py
@@ -102,7 +102,8 @@
             'barred',
             content=fingerprint.hex(),
             targets=[
-                found.get(notice.life, notice.life) for notice in notices
+                found.get(notice.incarnation, notice.incarnation)
+                for notice in notices
             ],
             ages_ms=[notice.age_ms for notice in notices],
         )
--- a/landingspool/gateway/hub.py
+++ b/landingspool/gateway/hub.py
@@ -195,17 +195,17 @@
         self.heartbeat.record(tick.now)
         for name in self.view.fleet.tick(tick.now):
             self.recorder.record('target_down', target=name, sure=True)
-            self.view.record_over(name, tick.now)
+            self.view.record_incarnation_end(name, tick.now)
         self.crash_records.check()
         self.target_notices.check()
 
     def _sweep(self, tick):
         self.upstream.sweep()
         self.target_notices.sweep()
-        bars = self.view.bars
+        exclusions = self.view.exclusions
         self.metrics.record_targets(
-            len(bars.cold_targets.list_cold(tick.now)),
-            bars.evacuation.describe(tick.now),
+            len(exclusions.cold_targets.list_cold(tick.now)),
+            exclusions.evacuation.describe(tick.now),
             self.view.engine_split.is_on,
         )
         self.metrics.quarantined.set(
@@ -223,10 +223,10 @@
             open=self.listener.count_busy(),
             proof_s=self.view.proof.age_to_log(tick.now),
             stores=self._describe_stores(tick.now),
-            cold=len(self.view.bars.cold_targets.list_cold(tick.now)),
-            evacuated=self.view.bars.evacuation.describe(tick.now),
+            cold=len(self.view.exclusions.cold_targets.list_cold(tick.now)),
+            evacuated=self.view.exclusions.evacuation.describe(tick.now),
             leaving=self.target_notices.list_leaving(tick.now),
-            resting=self.view.bars.backoffs.list_backoffs(tick.now),
+            resting=self.view.exclusions.backoffs.list_backoffs(tick.now),
         )
 
     def _describe_stores(self, now):
--- a/landingspool/gateway/peering.py
+++ b/landingspool/gateway/peering.py
@@ -161,10 +161,10 @@
         domain = self._hub.deployment.domain
         return [n for n, p in self.peers.items() if p.domain == domain]
 
-    def shun(self, name, reason):
+    def avoid(self, name, reason):
         """Avoid a box that did not answer, or whose state is outdated."""
         now = self._hub.clock()
-        self._readers.shun(name, now)
+        self._readers.avoid(name, now)
         self._hub.recorder.record(
             'reader_left',
             reader=name,
@@ -173,9 +173,9 @@
         )
         self._hub.sources.leave(name)
 
-    def is_shunned(self, name):
+    def is_avoided(self, name):
         """Return whether a box is avoided at present."""
-        return self._readers.is_shunned(name, self._hub.clock())
+        return self._readers.is_avoided(name, self._hub.clock())
 
     def record_cut(self, reason):
         """Record that the store does not answer this box.
@@ -184,12 +184,12 @@
         followers at once.  Otherwise it continues to ask the store.
         """
         if self.has_readers() and not self.is_cut():
-            self.shun(self._hub.deployment.box, reason)
+            self.avoid(self._hub.deployment.box, reason)
             self._hub.record_server.wake_all()
 
     def is_cut(self):
         """Return whether the store failed this box shortly before."""
-        return self.is_shunned(self._hub.deployment.box)
+        return self.is_avoided(self._hub.deployment.box)
 
     def _on_digest_period(self, tick):
         view = self._hub.view
@@ -200,12 +200,12 @@
         view.peers_by_domain = dict(collections.Counter(domains))
         if self._registry.was_read:
             # Without the list, this box may know only few of the others.
-            view.bars.shares.set_members(
+            view.exclusions.shares.set_members(
                 self._hub.deployment.box,
                 (*self.peers, self._hub.deployment.box),
                 tick.now,
             )
-        view.watching.set_members(
+        view.watchers.set_members(
             self._hub.deployment.box, self._list_domain_peers()
         )
         self._send_digest(tick.now)
@@ -219,7 +219,7 @@
         case of tests/gateway/test_limit_load.py).
         """
         now = self._hub.clock()
-        is_urgent = self._hub.view.bars.limits.is_urgent
+        is_urgent = self._hub.view.exclusions.limits.is_urgent
         if is_urgent and now - self._sent >= MIN_DIGEST_GAP_S:
             self._send_digest(now)
 
@@ -231,13 +231,13 @@
             box=self._hub.deployment.box,
             domain=self._hub.deployment.domain,
             number=self._number,
-            loads=peer_digests.hash_loads(view.loads.list_told()),
-            unreached=view.reach.list_told(),
+            loads=peer_digests.hash_loads(view.loads.list_reported()),
+            unreached=view.reachability.list_reported(),
             rooms=view.rooms,
             link_mbps=self._hub.deployment.link_mbps,
             endings=view.endings.tell(now),
-            limits=view.bars.limits.tell(now),
-            leaving=view.bars.leaving.tell(now),
+            limits=view.exclusions.limits.tell(now),
+            leaving=view.exclusions.leaving.tell(now),
         )
         for address in self._pick_digest_receivers():
             self._socket.send(digest, address)
@@ -250,7 +250,7 @@
             return
         self._number += 1
         self._asked_at = {self._number: tick.now}
-        ask = peer_digests.Ask(self._hub.deployment.box, self._number)
+        ask = peer_digests.ProofQuery(self._hub.deployment.box, self._number)
         for address in self._pick(PEERS_ASKED):
             self._socket.send(ask, address)
 
@@ -299,7 +299,7 @@
         view = self._hub.view
         if view.table is None:
             return
-        tell = peer_digests.Tell(
+        tell = peer_digests.ProofReply(
             self._hub.deployment.box,
             ask.number,
             view.table.version,
@@ -374,8 +374,8 @@
 
 HANDLERS = {
     peer_digests.Digest: Peering._receive_digest,
-    peer_digests.Ask: Peering._receive_ask,
-    peer_digests.Tell: Peering._receive_tell,
+    peer_digests.ProofQuery: Peering._receive_ask,
+    peer_digests.ProofReply: Peering._receive_tell,
 }
 
 
--- a/landingspool/gateway/prober.py
+++ b/landingspool/gateway/prober.py
@@ -13,7 +13,7 @@
 
 
 class Prober:
-    """Probe the targets that `reach` lists as due.
+    """Probe the targets that `reachability` lists as due.
 
     Parameters
     ----------
@@ -28,13 +28,13 @@
     def record_failed(self, name, reason):
         """Record that a connection failed, or that its path is dead."""
         view = self._hub.view
-        if name not in view.reach.list_failed():
+        if name not in view.reachability.list_failed():
             self._hub.recorder.record('unreached', target=name, reason=reason)
         view.record_unreached(name, self._hub.clock())
 
     def check(self, tick):
         """Start a probe of each target that is due."""
-        for name in self._hub.view.reach.list_due(tick.now):
+        for name in self._hub.view.reachability.list_due(tick.now):
             if name not in self._probing and self._may_probe(name, tick.now):
                 self._start_probe(name)
 
@@ -57,9 +57,9 @@
         view = self._hub.view
         entry = view.fleet.entries.get(name)
         if entry is None:
-            view.reach.forget(name)
+            view.reachability.forget(name)
             return
-        was_failed = name in view.reach.list_failed()
+        was_failed = name in view.reachability.list_failed()
         try:
             await self._hub.upstream.probe(
                 entry.address, view.get_connection_limit(entry.service)
@@ -69,7 +69,7 @@
                 self.record_failed(name, str(error))
             return
         if was_failed:
-            view.record_back(name, self._hub.clock())
+            view.record_reconnected(name, self._hub.clock())
             self._hub.recorder.record('reached', target=name)
         else:
-            view.reach.record_reached(name, self._hub.clock())
+            view.reachability.record_reached(name, self._hub.clock())
--- a/landingspool/gateway/registry.py
+++ b/landingspool/gateway/registry.py
@@ -119,7 +119,9 @@
             peer = read_peer(key, value)
             if peer is not None and key != self._hub.deployment.box:
                 listed[key] = peer
-        recent = self._hub.view.neighbours.list_fresh_peers(self._hub.clock())
+        recent = self._hub.view.peer_digests.list_fresh_peers(
+            self._hub.clock()
+        )
         for name in list(self._peers):
             if name not in listed and name not in recent:
                 del self._peers[name]
--- a/landingspool/gateway/relay.py
+++ b/landingspool/gateway/relay.py
@@ -113,10 +113,12 @@
             plan = self._view.plan(state.work, state.tried_targets, now, ready)
             self._plan = plan
             if plan is None:
-                shortage = self._view.find_lack(state.work, now)
+                shortage = self._view.get_shortage(state.work, now)
                 return await self._refuse_excluded(shortage, now)
             if plan.all_limited and not state.sends:
-                if not self._view.room.take(state.work, self._view.table, now):
+                if not self._view.free_capacity.take(
+                    state.work, self._view.table, now
+                ):
                     return await self._refuse_excluded(exclusions.LIMITED, now)
             if not state.sends and not self._view.is_admitted(
                 plan, state.work
@@ -182,7 +184,7 @@
         if self._view.has_available(work, now):
             return await self._give_up('rejected')
         return await self._refuse_excluded(
-            self._view.find_lack(work, now), now
+            self._view.get_shortage(work, now), now
         )
 
     async def _handle_failed(self, outcome):
@@ -230,7 +232,7 @@
         if self._state.sends:
             return await self._give_up(quarantine)
         endings = self._view.endings
-        left_s = endings.find_left(self._state.fingerprint, now)
+        left_s = endings.get_seconds_left(self._state.fingerprint, now)
         return await self._refuse(quarantine, left_s or None)
 
     async def _refuse_excluded(self, shortage, now):
@@ -247,7 +249,7 @@
 
     def _estimate_capacity_return(self, now):
         left_s = self._state.get_time_left(now)
-        return self._view.room.compute_retry_after(
+        return self._view.free_capacity.compute_retry_after(
             self._state.work, self._view.table, left_s, now
         )
 
--- a/landingspool/gateway/sources.py
+++ b/landingspool/gateway/sources.py
@@ -182,8 +182,8 @@
         return store_module.Unavailable(f'{peer.name}: {reason}', False)
 
     def _avoid(self, peer, reason):
-        if not self._hub.peering.is_shunned(peer.name):
-            self._hub.peering.shun(peer.name, reason)
+        if not self._hub.peering.is_avoided(peer.name):
+            self._hub.peering.avoid(peer.name, reason)
 
     async def _fetch(self, peer, path, query, hold_s):
         """Ask a box, until it answers or its reads are aborted.
--- a/landingspool/gateway/state.py
+++ b/landingspool/gateway/state.py
@@ -95,10 +95,14 @@
             versions=versions,
             targets=self.target_values,
             targets_end=self.targets_end,
-            evacuated=self._view.bars.evacuation.list_domains(),
+            evacuated=self._view.exclusions.evacuation.list_domains(),
             endings=self._view.endings.list_known(self._hub.clock()),
-            limits=self._view.bars.limits.list_notices(self._hub.clock()),
-            leaving=self._view.bars.leaving.list_notices(self._hub.clock()),
+            limits=self._view.exclusions.limits.list_notices(
+                self._hub.clock()
+            ),
+            leaving=self._view.exclusions.leaving.list_notices(
+                self._hub.clock()
+            ),
         )
 
     def take(self, snapshot, sent):
@@ -107,9 +111,9 @@
         for notice in snapshot.endings:
             self._view.endings.take(notice, now)
         for limit in snapshot.limits:
-            self._view.bars.limits.take(limit, '', sent)
+            self._view.exclusions.limits.take(limit, '', sent)
         for notice in snapshot.leaving:
-            self._view.bars.leaving.take(notice, '', sent)
+            self._view.exclusions.leaving.take(notice, '', sent)
         if snapshot.table is None:
             return
         self.take_table(snapshot.table)
@@ -132,14 +136,14 @@
     def put_evacuation(self, domain, is_evacuated):
         """Apply that a domain's evacuation was ordered or withdrawn."""
         now = self._hub.clock()
-        if is_evacuated and self._view.bars.evacuation.put(domain, now):
+        if is_evacuated and self._view.exclusions.evacuation.put(domain, now):
             self._hub.recorder.record('evacuated', domain=domain)
         elif not is_evacuated and self._view.withdraw_evacuation(domain, now):
             self._hub.recorder.record('evacuation_over', domain=domain)
 
     def set_evacuated(self, domains):
         """Replace the evacuated domains by those listed."""
-        for domain in self._view.bars.evacuation.find_ended(domains):
+        for domain in self._view.exclusions.evacuation.find_ended(domains):
             self.put_evacuation(domain, False)
         for domain in domains:
             self.put_evacuation(domain, True)
@@ -198,7 +202,7 @@
         """
         name = self._remove_target(target, unconfirmed)
         if name is not None and not unconfirmed:
-            self._view.record_over(name, self._hub.clock())
+            self._view.record_incarnation_end(name, self._hub.clock())
 
     def _remove_target(self, target, unconfirmed):
         """Remove a target from the list; return its incarnation's name."""
--- a/landingspool/gateway/sweeper.py
+++ b/landingspool/gateway/sweeper.py
@@ -113,8 +113,7 @@
             address
             for address, store in table.context_stores.items()
             if store.managed
-            and ownership.find_owner(address, boxes)
-            == self._hub.deployment.box
+            and ownership.get_owner(address, boxes) == self._hub.deployment.box
         ]
 
     def _drop_unowned_counts(self, owned):
--- a/landingspool/gateway/target_notices.py
+++ b/landingspool/gateway/target_notices.py
@@ -30,10 +30,10 @@
 
     def __init__(self, hub):
         self._hub = hub
-        self._limits = hub.view.bars.limits
+        self._limits = hub.view.exclusions.limits
         self._unreadable = set()
-        self._leaving = hub.view.bars.leaving
-        self._backoffs = hub.view.bars.backoffs
+        self._leaving = hub.view.exclusions.leaving
+        self._backoffs = hub.view.exclusions.backoffs
 
     def take(self, name, notices, asked, certain=True):
         """Apply the notices of one answer of a target.
@@ -100,7 +100,7 @@
 
     def _log_leaving(self, changes, names):
         for known in changes:
-            name = names.get(known.life, known.life)
+            name = names.get(known.incarnation, known.incarnation)
             self._hub.recorder.record(
                 'leaving_over' if known.is_over else 'leaving_told',
                 target=name,
@@ -113,13 +113,13 @@
                 self._hub.upstream.drop(entry.address)
 
     def _log_limits(self, changes, names):
-        for life, known in changes:
+        for incarnation, known in changes:
             if known.box and known.since < known.changed and known.per_s:
                 # The box that received the changed limit has logged it.
                 continue
             self._hub.recorder.record(
                 'limit_named' if known.per_s else 'limit_over',
-                target=names.get(life, life),
+                target=names.get(incarnation, incarnation),
                 per_s=known.per_s,
                 told_by=known.box or self._hub.deployment.box,
                 age_s=round(self._hub.clock() - known.heard, 3),
--- a/landingspool/operators/server.py
+++ b/landingspool/operators/server.py
@@ -38,7 +38,7 @@
     revision: int = 0
 
 
-class Operating:
+class OperatorApi:
     """Serves operators.
 
     Parameters
@@ -254,10 +254,10 @@
 
 
 ROUTES = {
-    ('GET', '/admin/table'): Operating.show_table,
-    ('POST', '/admin/publish'): Operating.publish,
-    ('GET', '/admin/edit'): Operating.find_edit,
-    ('GET', '/admin/status'): Operating.show_status,
-    ('GET', '/admin/events'): Operating.list_events,
-    ('POST', '/admin/drain'): Operating.drain,
+    ('GET', '/admin/table'): OperatorApi.show_table,
+    ('POST', '/admin/publish'): OperatorApi.publish,
+    ('GET', '/admin/edit'): OperatorApi.find_edit,
+    ('GET', '/admin/status'): OperatorApi.show_status,
+    ('GET', '/admin/events'): OperatorApi.list_events,
+    ('POST', '/admin/drain'): OperatorApi.drain,
 }
--- a/landingspool/platform/catalogue.py
+++ b/landingspool/platform/catalogue.py
@@ -299,7 +299,8 @@
         Unix time in seconds, from which readers compute the ages.
     """
     rows = [
-        [notice.life, int(wall_s * 1000) - notice.age_ms] for notice in notices
+        [notice.incarnation, int(wall_s * 1000) - notice.age_ms]
+        for notice in notices
     ]
     return json.dumps(rows).encode()
 
@@ -319,9 +320,11 @@
         fingerprint = bytes.fromhex(key)
         return [
             peer_digests.CrashNotice(
-                fingerprint, int(life), max(int(wall_s * 1000) - int(at), 0)
+                fingerprint,
+                int(incarnation),
+                max(int(wall_s * 1000) - int(at), 0),
             )
-            for life, at in json.loads(value)
+            for incarnation, at in json.loads(value)
         ]
     except DECODE_ERRORS as error:
         raise Malformed(f'endings: {error!r}') from error
--- a/tests/gateway/test_coldness.py
+++ b/tests/gateway/test_coldness.py
@@ -42,7 +42,7 @@
             1, [test_view.ROUTE], [service], {}, routes.Limits(), False
         )
     )
-    view.bars.shares.set_members(name, members, 0.0)
+    view.exclusions.shares.set_members(name, members, 0.0)
     for number in range(TARGETS):
         entry = fleet.Entry(
             f't{number}', 's', ('a', number), 'd', fleet.READY, 64, {'m': 1}
@@ -103,20 +103,25 @@
 
 def test_a_target_counts_as_cold_after_it_came_back():
     view = make_box('box0', {'box0', 'box1'})
-    assert view.bars.cold_targets.find_left('t0', 13.1) == 0.0
+    assert view.exclusions.cold_targets.get_seconds_left('t0', 13.1) == 0.0
     view.record_unreached('t0', 14.0)
-    view.record_back('t0', 15.0)
-    assert view.bars.cold_targets.find_left('t0', 15.0) == BOUND.seconds
-    view.bars.evacuation.put('d', 20.0)
+    view.record_reconnected('t0', 15.0)
+    assert (
+        view.exclusions.cold_targets.get_seconds_left('t0', 15.0)
+        == BOUND.seconds
+    )
+    view.exclusions.evacuation.put('d', 20.0)
     view.withdraw_evacuation('d', 25.0)
-    assert len(view.bars.cold_targets.list_cold(25.0)) == TARGETS
+    assert len(view.exclusions.cold_targets.list_cold(25.0)) == TARGETS
 
 
 def test_a_box_without_the_list_of_boxes_sends_nothing_to_cold_targets():
     view = test_view.make_view()
-    view.bars.cold_targets.record_reported('t0', 2.0, 10.0)
-    assert view.bars.cold_targets.may_send('t0', cold_targets.Bound(), 10.0)
-    assert not view.bars.cold_targets.may_send('t0', BOUND, 10.0)
-    view.bars.shares.set_members('box', ('box',), 10.0)
-    assert not view.bars.cold_targets.may_send('t0', BOUND, 10.9)
-    assert view.bars.cold_targets.may_send('t0', BOUND, 11.1)
+    view.exclusions.cold_targets.record_reported('t0', 2.0, 10.0)
+    assert view.exclusions.cold_targets.may_send(
+        't0', cold_targets.Bound(), 10.0
+    )
+    assert not view.exclusions.cold_targets.may_send('t0', BOUND, 10.0)
+    view.exclusions.shares.set_members('box', ('box',), 10.0)
+    assert not view.exclusions.cold_targets.may_send('t0', BOUND, 10.9)
+    assert view.exclusions.cold_targets.may_send('t0', BOUND, 11.1)
--- a/tests/gateway/test_context.py
+++ b/tests/gateway/test_context.py
@@ -108,7 +108,7 @@
     reader, member = context_index.ContextIndex(), context_index.ContextIndex()
     reader.take('k1', make_news(1, ('a', 500)), 10.0, 10.1)
     member.take('k1', make_news(1, ('a', 500)), 10.0, 10.1)
-    told = reader.tell('k1', *member.get_position('k1'), 11.5)
+    told = reader.make_update('k1', *member.get_position('k1'), 11.5)
     member.take('k1', told, 11.4, 11.6)
     end = 10.0 + context_index.LEASE_S - context_index.MIN_LEFT_S
     assert member.may_fetch('k1', end - 0.2)
@@ -155,7 +155,7 @@
     member = context_index.ContextIndex()
     member.take('k1', make_news(1), 1.0, 1.0)
     for reader in (first, second):
-        news = reader.tell('k1', *member.get_position('k1'), 2.0)
+        news = reader.make_update('k1', *member.get_position('k1'), 2.0)
         assert not news.lost and not news.whole
         member.take('k1', news, 2.0, 2.0)
     assert member.cached('k1') == second.cached('k1')
@@ -163,12 +163,12 @@
 
 def test_the_whole_list_is_not_sent_between_boxes():
     reader = make_reader(4)
-    news = reader.tell('k1', *context_index.UNKNOWN, 2.0)
+    news = reader.make_update('k1', *context_index.UNKNOWN, 2.0)
     assert news.lost and not news.changes
     # A box that is too far behind must not continue as if it had missed
     # nothing.
     late = make_reader(*range(1, context_index.MAX_BATCHES + 5))
-    assert late.tell('k1', 1, 2, 2.0).lost
+    assert late.make_update('k1', 1, 2, 2.0).lost
 
 
 def test_room_is_counted_in_blocks_with_what_broke_off():
@@ -197,7 +197,7 @@
     reader, member = make_reader(4), make_reader(4)
     listed = make_news(1, ('p0', 100), ('a', 500))._replace(next=9)
     assert not reader.take('k1', listed, 2.0, 2.0)
-    news = reader.tell('k1', *member.get_position('k1'), 2.0)
+    news = reader.make_update('k1', *member.get_position('k1'), 2.0)
     assert not news.lost
     member.take('k1', news, 2.0, 2.0)
     assert member.cached('k1') == {('m.1', 'p0'): 100, ('m.1', 'a'): 500}
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -213,9 +213,9 @@
     assert endings.list_quarantined(1.6) == []
     # An older notice that arrives late restores nothing.
     for name in ('a', 'b', 'c'):
-        life = peer_digests.hash_target(name)
-        endings.take(peer_digests.CrashNotice(b'whole', life, 600), 1.5)
-        endings.take(peer_digests.CrashNotice(b'cut', life, 500), 1.5)
+        incarnation = peer_digests.hash_target(name)
+        endings.take(peer_digests.CrashNotice(b'whole', incarnation, 600), 1.5)
+        endings.take(peer_digests.CrashNotice(b'cut', incarnation, 500), 1.5)
     assert endings.list_quarantined(1.6) == []
 
 
--- a/tests/gateway/test_evacuation.py
+++ b/tests/gateway/test_evacuation.py
@@ -30,7 +30,9 @@
         split(deployment)
         put(deployment)
         hub = await deployment.start_box()
-        await site.wait_until(lambda: hub.view.bars.evacuation.holds('d2'))
+        await site.wait_until(
+            lambda: hub.view.exclusions.evacuation.holds('d2')
+        )
         for _ in range(8):
             assert (await site.ask(hub, '/safe/a')).status == 200
         refused = await site.ask(hub, '/resumed/a')
@@ -38,7 +40,9 @@
         assert b'evacuated' in refused.body
         assert not deployment.plain[1].heads
         put(deployment, b'')
-        await site.wait_until(lambda: not hub.view.bars.evacuation.holds('d2'))
+        await site.wait_until(
+            lambda: not hub.view.exclusions.evacuation.holds('d2')
+        )
         deployment.announce(deployment.plain[0], 'plain', state='draining')
         await site.wait_until(lambda: 'p0' not in hub.view.fleet.entries)
         assert (await site.ask(hub, '/safe/a')).status == 200
@@ -55,7 +59,9 @@
         asked = asyncio.ensure_future(site.ask(hub, '/safe/a'))
         await site.wait_until(lambda: any(r.heads for r in deployment.plain))
         put(deployment)
-        await site.wait_until(lambda: hub.view.bars.evacuation.holds('d2'))
+        await site.wait_until(
+            lambda: hub.view.exclusions.evacuation.holds('d2')
+        )
         before = len(deployment.plain[1].heads)
         await asked
         assert len(deployment.plain[1].heads) == before
@@ -70,7 +76,9 @@
         )
         put(deployment)
         hub = await deployment.start_box()
-        await site.wait_until(lambda: hub.view.bars.evacuation.holds('d2'))
+        await site.wait_until(
+            lambda: hub.view.exclusions.evacuation.holds('d2')
+        )
         named = {'model': 'm', 'version': 2}
         deployment.store.put('keyed.op', 'version/m', named)
         await site.wait_until(lambda: deployment.engines[0].version == 2, 9.0)
@@ -89,11 +97,11 @@
         await asyncio.sleep(2.6)
         put(deployment)
         await site.wait_until(
-            lambda: second.view.bars.evacuation.holds('d2'), 5.0
+            lambda: second.view.exclusions.evacuation.holds('d2'), 5.0
         )
         put(deployment, b'')
         await site.wait_until(
-            lambda: not second.view.bars.evacuation.holds('d2'), 5.0
+            lambda: not second.view.exclusions.evacuation.holds('d2'), 5.0
         )
 
     site.run(check)
@@ -103,12 +111,16 @@
     async def check(deployment):
         put(deployment)
         hub = await deployment.start_box()
-        await site.wait_until(lambda: hub.view.bars.evacuation.holds('d2'))
+        await site.wait_until(
+            lambda: hub.view.exclusions.evacuation.holds('d2')
+        )
         topic = deployment.store.topic('keyed.op')
         del topic.newest[KEY]
         topic.append('other', b'{}')
         topic.forget()
-        await site.wait_until(lambda: not hub.view.bars.evacuation.holds('d2'))
+        await site.wait_until(
+            lambda: not hub.view.exclusions.evacuation.holds('d2')
+        )
 
     site.run(check)
 
@@ -160,7 +172,7 @@
     assert plan_at_home(view, ['here'], ['there']) is None
     assert plan_at_home(view, ['elsewhere']) is None
     # A domain without a known region is allowed for no restricted request.
-    view.bars.regions = {}
+    view.exclusions.regions = {}
     assert plan_at_home(view, ['here']) is None
 
 
@@ -181,7 +193,9 @@
     async def check(deployment):
         hub = await deployment.start_box()
         put(deployment)
-        hub.view.bars.cold_targets.record_reported('p0', 9.0, hub.clock())
+        hub.view.exclusions.cold_targets.record_reported(
+            'p0', 9.0, hub.clock()
+        )
         wanted = b'evacuated_seconds{domain="d2"}'
         await site.wait_until(lambda: wanted in hub.metrics.render())
         assert b'gateway_cold_targets 1.0' in hub.metrics.render()
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -62,7 +62,7 @@
         assert 'faults_total 1.0' in hub.metrics.render().decode()
         # The box continues to serve, and has no state of the failed request.
         assert (await site.ask(hub, path, headers=PROMPT)).whole
-        await site.wait_until(lambda: not hub.view.loads.list_told())
+        await site.wait_until(lambda: not hub.view.loads.list_reported())
 
     site.run(check)
 
--- a/tests/gateway/test_leaving_words.py
+++ b/tests/gateway/test_leaving_words.py
@@ -14,7 +14,7 @@
 async def receive_leaving(hub, runner, path='/safe/a'):
     """Send requests until a target has announced to a box that it leaves."""
     runner.leaving = True
-    while not hub.view.bars.leaving.holds(runner.name):
+    while not hub.view.exclusions.leaving.holds(runner.name):
         await site.ask(hub, path)
         await asyncio.sleep(0.01)
 
@@ -56,10 +56,16 @@
         (runner,) = deployment.plain
         await receive_leaving(first, runner)
         known = len(runner.heads)
-        await site.wait_until(lambda: second.view.bars.leaving.holds('p0'))
+        await site.wait_until(
+            lambda: second.view.exclusions.leaving.holds('p0')
+        )
         third = await deployment.start_box('box2', [first.deployment.links])
-        await site.wait_until(lambda: third.view.bars.leaving.holds('p0'))
-        assert [notice.life for notice in first.state.get_snapshot().leaving]
+        await site.wait_until(
+            lambda: third.view.exclusions.leaving.holds('p0')
+        )
+        assert [
+            notice.incarnation for notice in first.state.get_snapshot().leaving
+        ]
         for hub in (second, third):
             got = await site.ask(hub, '/safe/a')
             assert got.status == 503
@@ -86,7 +92,7 @@
         (runner,) = deployment.engines
         runner.leaving = True
         await hub.runners.report(http.Address(*runner.address))
-        assert hub.view.bars.leaving.holds('e0')
+        assert hub.view.exclusions.leaving.holds('e0')
 
     site.run(check_report, plain=1, engines=1)
 
@@ -99,7 +105,7 @@
         deployment.announce(runner, 'engine', model='m', born=BORN)
         await site.wait_until(lambda: 'e0' not in hub.view.fleet.entries)
         assert called.incarnations == ('e0',)
-        assert not hub.view.bars.leaving.holds(f'e0@{BORN}')
+        assert not hub.view.exclusions.leaving.holds(f'e0@{BORN}')
 
     site.run(check, plain=1, engines=1)
 
@@ -118,7 +124,7 @@
         hub.upstream.open = open_later
         work = asyncio.ensure_future(site.ask(hub, '/unsafe/a'))
         await asyncio.sleep(LATER_S / 2)
-        hub.view.bars.leaving.record_reported('p0', hub.clock())
+        hub.view.exclusions.leaving.record_reported('p0', hub.clock())
         assert (await work).status == 503
         assert not runner.heads
 
@@ -150,7 +156,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         leaving, other = deployment.engines
-        hub.view.bars.leaving.record_reported(leaving.name, hub.clock())
+        hub.view.exclusions.leaving.record_reported(leaving.name, hub.clock())
         deployment.store.put(
             'keyed.op', 'version/m', {'model': 'm', 'version': 2}
         )
--- a/tests/gateway/test_limit_load.py
+++ b/tests/gateway/test_limit_load.py
@@ -107,9 +107,11 @@
         view.record_first(plan, work, now)
         view.loads.record_end(plan.entry.name, work.name)
         if limit is None:
-            view.bars.limits.record_unnamed(plan.entry.name, asked, now)
+            view.exclusions.limits.record_unnamed(plan.entry.name, asked, now)
         else:
-            view.bars.limits.record_named(plan.entry.name, limit, asked, now)
+            view.exclusions.limits.record_named(
+                plan.entry.name, limit, asked, now
+            )
             self.notified[view, plan.entry.name] = True
             self._send_urgent(now, view)
 
@@ -118,12 +120,12 @@
         self._send(now, name)
 
     def _send_urgent(self, now, view):
-        if view.bars.limits.is_urgent:
+        if view.exclusions.limits.is_urgent:
             self._send(now, self.names[view])
 
     def _send(self, now, name):
         view = self.views[name]
-        notices = view.bars.limits.tell(now)
+        notices = view.exclusions.limits.tell(now)
         number = next(self._ties)
         digest = peer_digests.Digest(name, 'd', number, {}, limits=notices)
         others = [other for other in self.views if other != name]
@@ -160,7 +162,7 @@
             1, [test_view.ROUTE], [service], {}, routes.Limits(), False
         )
     )
-    view.bars.shares.set_members(name, names, 0.0)
+    view.exclusions.shares.set_members(name, names, 0.0)
     for number in range(targets):
         view.put_entry(
             fleet.Entry(
@@ -230,19 +232,19 @@
     names = [f'box{number}' for number in range(30)]
     views = {name: make_view(1, names, name) for name in names}
     for view in views.values():
-        view.bars.limits.record_named('t0', 1.0, 20.0, 20.1)
+        view.exclusions.limits.record_named('t0', 1.0, 20.0, 20.1)
     without = [
         view
         for view in views.values()
-        if not view.bars.limits.may_send('t0', 25.0)
+        if not view.exclusions.limits.may_send('t0', 25.0)
     ]
     assert len(without) == 26
     turns = collections.Counter()
     for step in range(1800):
         now = 25.0 + step * 0.1
         for number, view in enumerate(without):
-            if view.bars.limits.may_send('t0', now):
-                view.bars.shares.record_sent('t0', now)
+            if view.exclusions.limits.may_send('t0', now):
+                view.exclusions.shares.record_sent('t0', now)
                 turns[number] += 1
     assert set(turns) == set(range(26))
     assert max(turns.values()) == 1
--- a/tests/gateway/test_limit_words.py
+++ b/tests/gateway/test_limit_words.py
@@ -21,7 +21,9 @@
             runner.limit = '1.5\xe9;'
         for _ in range(6):
             assert (await site.ask(hub, '/safe/a')).status == 200
-        assert not hub.view.bars.limits.list_named(hub.view.fleet.entries)
+        assert not hub.view.exclusions.limits.list_named(
+            hub.view.fleet.entries
+        )
         assert hub.recorder.counts['bad_word'] <= len(deployment.plain)
         assert hub.recorder.counts['bad_word'] >= 1
 
@@ -34,14 +36,14 @@
         (runner,) = deployment.plain
         runner.limit = '4.5'
         await site.ask(hub, '/safe/a')
-        (known,) = hub.view.bars.limits.list_named(['p0']).values()
+        (known,) = hub.view.exclusions.limits.list_named(['p0']).values()
         assert known.per_s == 4.5
         runner.limit = None
         # A box that has just started may send nothing for one window.
         async with asyncio.timeout(STARTED_S):
             while (await site.ask(hub, '/safe/a')).status != 200:
                 await asyncio.sleep(0.1)
-        assert not hub.view.bars.limits.list_named(['p0'])
+        assert not hub.view.exclusions.limits.list_named(['p0'])
         await site.wait_until(lambda: hub.recorder.counts['limit_over'])
         assert hub.recorder.counts['limit_named'] == 1
 
@@ -61,11 +63,11 @@
         (runner,) = deployment.plain
         runner.limit = '0.5'
         await site.ask(hub, '/safe/a')
-        assert hub.view.bars.limits.find('p0')
+        assert hub.view.exclusions.limits.find('p0')
         runner.limit = None
         deployment.announce(runner, 'plain', born=1_700_000_000_000)
         await site.wait_until(lambda: 'p0' not in hub.view.fleet.entries)
-        assert not hub.view.bars.limits.find('p0')
+        assert not hub.view.exclusions.limits.find('p0')
         assert (await site.ask(hub, '/safe/a')).status == 200
 
     site.run(check, plain=1, engines=1)
@@ -78,7 +80,9 @@
         runner.limit = '0.5'
         await site.ask(first, '/safe/a')
         second = await deployment.start_box('box1', [first.deployment.links])
-        await site.wait_until(lambda: second.view.bars.limits.find('p0'), 1.5)
+        await site.wait_until(
+            lambda: second.view.exclusions.limits.find('p0'), 1.5
+        )
         given = first.state.get_snapshot()
         assert [notice.per_s for notice in given.limits] == [0.5]
         got = await site.ask(second, '/safe/a')
@@ -93,10 +97,10 @@
         hub = await deployment.start_box()
         (runner,) = deployment.engines
         runner.limit = '0.5'
-        await site.wait_until(lambda: hub.view.bars.limits.find('e0'))
+        await site.wait_until(lambda: hub.view.exclusions.limits.find('e0'))
         runner.limit = None
         await hub.runners.report(http.Address(*runner.address))
-        assert hub.view.bars.limits.find('e0')
+        assert hub.view.exclusions.limits.find('e0')
 
     site.run(check, plain=1, engines=1)
 
@@ -105,11 +109,15 @@
     """The ages in a digest lack its transit time."""
     limits = limits_module.Limits(shares.Shares())
     limits.record_named('t', 2.0, 9.9, 10.0)
-    life = peer_digests.hash_target('t')
+    incarnation = peer_digests.hash_target('t')
     # Sent at 9.5, answered at 9.7, and half a second in transit.
-    limits.take(peer_digests.LimitNotice(life, 0.0, 200, 100), 'box', 10.2)
+    limits.take(
+        peer_digests.LimitNotice(incarnation, 0.0, 200, 100), 'box', 10.2
+    )
     assert limits.find('t').per_s == 2.0
-    limits.take(peer_digests.LimitNotice(life, 0.0, 200, 100), 'box', 11.3)
+    limits.take(
+        peer_digests.LimitNotice(incarnation, 0.0, 200, 100), 'box', 11.3
+    )
     assert limits.find('t') is None
 
 
@@ -160,9 +168,9 @@
         await asyncio.sleep(STARTED_S)
         runner.limit, runner.usual = None, 'failure'
         assert (await site.ask(hub, '/unsafe/a')).status == 500
-        assert hub.view.bars.limits.find('p0')
+        assert hub.view.exclusions.limits.find('p0')
         runner.usual = 'whole'
         assert (await site.ask(hub, '/safe/a')).status == 200
-        assert not hub.view.bars.limits.find('p0')
+        assert not hub.view.exclusions.limits.find('p0')
 
     site.run(check, plain=1, engines=1)
--- a/tests/gateway/test_reach.py
+++ b/tests/gateway/test_reach.py
@@ -16,12 +16,14 @@
         asks = (site.ask(hub, '/safe/a') for _ in range(20))
         for got in await asyncio.gather(*asks):
             assert got.status == 200
-        assert hub.view.reach.is_out('p0')
+        assert hub.view.reachability.is_out('p0')
         attempts = await count_attempts(hub, 20)
         assert attempts == {'p1': 20}
         back = site.runner_module.Runner('p0')
         back._server = await asyncio.start_server(back._serve, host, port)
-        await site.wait_until(lambda: not hub.view.reach.is_out('p0'), 3.0)
+        await site.wait_until(
+            lambda: not hub.view.reachability.is_out('p0'), 3.0
+        )
         assert not back.heads
 
     site.run(check)
@@ -57,9 +59,11 @@
                 first.prober.record_failed(name, 'told by the test')
         # Its own probes fail for one target and succeed for the other.
         await site.wait_until(
-            lambda: second.view.reach.list_failed() == ['p0'], 2.0
+            lambda: second.view.reachability.list_failed() == ['p0'], 2.0
+        )
+        await site.wait_until(
+            lambda: not second.view.reachability.is_out('p1'), 2.0
         )
-        await site.wait_until(lambda: not second.view.reach.is_out('p1'), 2.0)
 
     site.run(check)
 
@@ -109,13 +113,16 @@
             for hub, before in zip(hubs, counts, strict=True)
             if count_probes(hub) > before
         ]
-        watchers = hubs[0].view.watching.list_watchers('p0')
+        watchers = hubs[0].view.watchers.list_watchers('p0')
         assert sorted(probing) == sorted(watchers)
         back = site.runner_module.Runner('p0')
         back._server = await asyncio.start_server(back._serve, host, port)
         # Sooner than their own next probe.
         await site.wait_until(
-            lambda: not any(hub.view.reach.is_out('p0') for hub in hubs), 4.0
+            lambda: (
+                not any(hub.view.reachability.is_out('p0') for hub in hubs)
+            ),
+            4.0,
         )
 
     site.run(check)
@@ -123,5 +130,5 @@
 
 def count_probes(hub):
     """Return the consecutive failed probes of a target at a box."""
-    out = hub.view.reach._outages.get('p0')
+    out = hub.view.reachability._outages.get('p0')
     return out.failed if out is not None else 0
--- a/tests/gateway/test_readers.py
+++ b/tests/gateway/test_readers.py
@@ -103,11 +103,11 @@
 def test_a_box_that_the_store_fails_follows_another_one():
     for name in BOXES:
         seen, others = make_readers(name)
-        seen.shun(name, 1.0)
+        seen.avoid(name, 1.0)
         assert seen.pick(others, 0.0, 1.0) in others
         assert seen.pick(others, AGES.old_s + 0.1, 1.0) in others
         for other in others:
-            seen.shun(other, 1.0)
+            seen.avoid(other, 1.0)
         # If no peer can be followed it keeps trying the store.
         assert seen.pick(others, 0.0, 1.0) is None
 
@@ -116,10 +116,10 @@
     known, others = make_readers('box0')
     first = known.pick(others, 0.0, 1.0)
     assert first is not None
-    known.shun(first, 1.0)
+    known.avoid(first, 1.0)
     second = known.pick(others, 0.0, 1.0)
     assert second not in (first, None)
-    known.shun(second, 1.0)
+    known.avoid(second, 1.0)
     third = known.pick(others, 0.0, 1.0)
     assert third not in (first, second)
     assert known.pick(others, 0.0, 1.0 + readers.AVOID_S) == first
@@ -133,14 +133,14 @@
     for name in BOXES:
         seen, others = make_readers(name)
         for other in failed:
-            seen.shun(other, 1.0)
+            seen.avoid(other, 1.0)
         picked[name] = seen.pick(others, 0.0, 1.0)
     # Boxes that the store does not answer know so themselves, and follow, too.
     assert {name for name, of in picked.items() if of is None} == next_two
     assert set(picked.values()) - {None} <= next_two
     known, others = make_readers('box0')
     for name in others:
-        known.shun(name, 1.0)
+        known.avoid(name, 1.0)
     assert known.pick(others, 0.0, 1.0) is None
 
 
@@ -179,7 +179,7 @@
             # The first reads were held as in a domain of one box.
             await asyncio.sleep(2 * AGES.hold_s)
             for hub in hubs:
-                hub.peering.shun = lambda name, reason: left.append(name)
+                hub.peering.avoid = lambda name, reason: left.append(name)
             # Longer than a read of unchanged targets is held.
             await asyncio.sleep(following.Targets.hold_s + 0.8)
             assert not left
@@ -223,7 +223,7 @@
             # The peer withholds the update until its hold has expired.
             asked = next(h for h in hubs if h.deployment.box == peer.name)
             asked.record_server.wake = lambda topic: None
-            member.peering.shun(peer.name, 'for a test')
+            member.peering.avoid(peer.name, 'for a test')
             deployment.announce(deployment.plain[0], 'plain', state='draining')
             reply = await asyncio.wait_for(reading, 0.2)
             assert [record.key for record in reply.records] == ['p0']
--- a/tests/gateway/test_rest_words.py
+++ b/tests/gateway/test_rest_words.py
@@ -39,7 +39,7 @@
         texts = 'nan', 'inf', '9' * 400, '', '-1', '1e3', '\xe9;'
         for text in texts:
             assert (await receive_backoff(hub, runner, text)).status == 503
-            assert hub.view.bars.backoffs.may_send('p0', hub.clock())
+            assert hub.view.exclusions.backoffs.may_send('p0', hub.clock())
             # Avoided like a target that rejects requests without a back-off.
             hub.view.forget('p0')
         assert hub.recorder.counts['bad_word'] == 1
@@ -81,7 +81,7 @@
     async def check(deployment):
         hub = await deployment.start_box()
         long, short = deployment.plain
-        backoffs = hub.view.bars.backoffs
+        backoffs = hub.view.exclusions.backoffs
         long.usual = short.usual = 'shed'
         long.rest, short.rest = '9', '2'
         while len(backoffs.list_backoffs(hub.clock())) < 2:
@@ -190,7 +190,7 @@
         answer = await site.ask(hub, '/unsafe/a')
         assert answer.status == 503
         assert 'leaving' in answer.body.decode()
-        assert hub.view.bars.limits.find('p0').per_s == 2.0
+        assert hub.view.exclusions.limits.find('p0').per_s == 2.0
         assert len(runner.heads) == 1
 
     site.run(check, plain=1, engines=1)
--- a/tests/gateway/test_standstill.py
+++ b/tests/gateway/test_standstill.py
@@ -72,7 +72,7 @@
         for entry in hub.view.fleet.entries.values():
             health = hub.view.get_health(entry.name)
             assert (health.failures, health.failing) == (0, 0.0)
-        assert not hub.view.reach.list_failed()
+        assert not hub.view.reachability.list_failed()
 
     run(check)
 
@@ -137,7 +137,7 @@
         await site.wait_until(lambda: count_ran(deployment) == len(works))
         suspend(STALL_S)
         hub.timer.look()
-        assert hub.view.neighbours.list_fresh_peers(hub.clock()) == ['box1']
+        assert hub.view.peer_digests.list_fresh_peers(hub.clock()) == ['box1']
         answers = await asyncio.gather(*works)
         assert [a.status for a in answers] == [200] * len(works)
         for entry in hub.view.fleet.entries.values():
--- a/tests/gateway/test_sweeper.py
+++ b/tests/gateway/test_sweeper.py
@@ -123,7 +123,7 @@
         name = next(
             name
             for name in map('box{}'.format, itertools.count(2))
-            if ownership.find_owner(address, ['box1', name]) == name
+            if ownership.get_owner(address, ['box1', name]) == name
         )
         hub.peering.peers[name] = registry.Peer(
             name, context_store.address, 'd1'
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -91,7 +91,7 @@
                 # As the kernel does if sent data stays unacknowledged.
                 made.connection_lost(TimeoutError(110, 'timed out'))
         assert (await work).status == 200
-        assert hub.view.reach.list_failed() == [used.name]
+        assert hub.view.reachability.list_failed() == [used.name]
         assert used.address not in hub.upstream.list_ready(True)
 
     site.run(check)
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -67,7 +67,7 @@
     for number in range(4):
         plan = view.plan(make_work(f'q{number}'), (), 10.0)
         view.record_sent(plan, make_work(f'q{number}'), 10.0)
-    sent = set(view.loads.list_told())
+    sent = set(view.loads.list_reported())
     assert preferred in sent
     assert len(sent) > 1
 
--- a/tests/matrix/guards.py
+++ b/tests/matrix/guards.py
@@ -131,8 +131,8 @@
 )
 def forget_archive(patch):
     """Forget which keys this box has run or is running."""
-    patch.setattr(answers.Archive, 'find', lambda self, key: None)
-    patch.setattr(answers.Archive, 'is_spent', lambda self, key: False)
+    patch.setattr(answers.AnswerCache, 'find', lambda self, key: None)
+    patch.setattr(answers.AnswerCache, 'is_spent', lambda self, key: False)
 
     async def hold(self, key, minted):
         return claimer.Won(key)
@@ -169,12 +169,12 @@
         return event
 
     def take_end(self, end):
-        self._step(Signal.END)
-        return session.Part('ok', end)
+        self._advance(Signal.END)
+        return session.AttemptResult('ok', end)
 
     patch.setattr(session.targets.Stream, 'resume', from_start)
     patch.setattr(session.targets, 'decode_event', lax)
-    patch.setattr(session.Session, '_take_end', take_end)
+    patch.setattr(session.Session, '_handle_end', take_end)
 
 
 @guard(
@@ -243,7 +243,7 @@
 def keep_old_grants(patch):
     """Use a grant however old it is, by a list as old."""
     patch.setattr(entry.Entry, 'is_fresh', lambda self, now: True)
-    patch.setattr(session.Session, '_find_stale', lambda *_: '')
+    patch.setattr(session.Session, '_get_stale_reason', lambda *_: '')
 
 
 @guard(
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -103,4 +103,4 @@
 
 def test_keys_of_two_workspaces_never_meet():
     key = parsing.read_key('1700000000-a')
-    assert parsing.name_claim('a', key) != parsing.name_claim('b', key)
+    assert parsing.make_claim_key('a', key) != parsing.make_claim_key('b', key)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -92,8 +92,8 @@
     }
     body = json.dumps(value).encode()
     request = http.Request('POST', '/', {}, headers, body)
-    demand, fault = parsing.read_demand(request, 'r', CALLERS, set())
-    assert (demand is None) is (fault is not None)
+    parsed, fault = parsing.parse_request(request, 'r', CALLERS, set())
+    assert (parsed is None) is (fault is not None)
 
 
 @FUZZ
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -33,7 +33,7 @@
 
 def test_successor_waits_before_it_orders_a_target_without_fences():
     names = ('box-1', 'box-2')
-    owner = ownership.find_owner(POOL, names)
+    owner = ownership.get_owner(POOL, names)
     (other,) = set(names) - {owner}
     target = examples.make_member('t1', checks_fences=False)
     members = [*map(make_box, names), target]
