--- a/landingspool/callers/parsing.py
+++ b/landingspool/callers/parsing.py
@@ -79,7 +79,7 @@
 def read_key(text):
     """Parse an idempotency key; return None if it is malformed.
 
-    A key starts with the Unix time of its making, or names the box that
+    A key starts with the Unix time of its creation, or names the box that
     created it.
 
     >>> read_key('1700000000-abc').minted
--- a/landingspool/callers/session.py
+++ b/landingspool/callers/session.py
@@ -159,8 +159,10 @@
             # The slot stays reserved during the import, so its duration does
             # not count towards the age of the decision.
             received_at += self.core.timer.now() - import_started
-        stall_s = None if self._is_plain() else targets.STALL_S
-        stream = targets.Stream(self.core.client, self._address, stall_s)
+        idle_timeout_s = None if self._is_plain() else targets.IDLE_TIMEOUT_S
+        stream = targets.Stream(
+            self.core.client, self._address, idle_timeout_s
+        )
         try:
             await stream.connect()
         except http.Unreachable as error:
@@ -227,7 +229,7 @@
         async for event in stream.read():
             if isinstance(event, targets.End):
                 return self._handle_end(event)
-            if isinstance(event, targets.Cut):
+            if isinstance(event, targets.Interrupted):
                 self._advance(Signal.CUT)
                 return AttemptResult('cut', None, event.reason)
             if event.index != self.state.tokens:
